--- a/include/pepperbay/relay/dialect.hpp
+++ b/include/pepperbay/relay/dialect.hpp
@@ -1,5 +1,6 @@
 /// @file
-/// @brief What a platform's headers say, as typed values; the relay knows none of their names.
+/// @brief Typed values of the platform's request and response headers. The relay uses only these
+/// and does not depend on the header names.
 #pragma once
 
 #include "pepperbay/base/clock.hpp"
@@ -16,52 +17,53 @@
 
 using HeaderFields = boost::beast::http::fields;
 
-/// What a caller says of its request.
+/// Metadata that a caller's headers give about its request.
 struct RequestFacts
 {
-  std::string mId;                         ///< of one attempt of the caller
+  std::string mId;                         ///< request ID; identifies one attempt of the caller
   std::optional<Duration> mDeadline;       ///< how long the caller waits
-  std::string mKey;                        ///< of its customer; empty: none
-  std::string mModel;                      ///< empty: the request asks for no model
-  double mPromptTokens = 0;                ///< to be read before the first event; 0: not said
-  std::optional<std::uint64_t> mLastEvent; ///< the caller has the events up to this one
-  /// Ids of the parts of its prompt that other requests may have as well, in order. The last part,
-  /// which is the request's own, is left out; at most kMostPromptParts.
+  std::string mKey;                        ///< API key of the customer; empty: none
+  std::string mModel;                      ///< requested model; empty: none
+  double mPromptTokens = 0;                ///< to be processed before the first event; 0: unknown
+  std::optional<std::uint64_t> mLastEvent; ///< ID of the last event that the caller received
+  /// IDs of the prompt parts that other requests may share, in order. The last part belongs to this
+  /// request only and is left out. At most kMostPromptParts.
   std::vector<std::string> mPromptParts;
 };
 
-/// Further parts of a prompt are not told apart.
+/// Limit on the prompt parts of a request; further parts are ignored.
 inline constexpr std::size_t kMostPromptParts = 64;
 
-/// What the relay says to an engine beside the caller's own headers.
+/// Metadata that the relay adds to the caller's headers when it sends a request to an engine.
 struct RequestStamp
 {
-  Duration mDeadline{ 0 };                 ///< what is left of the caller's
-  std::string mEngine;                     ///< the one meant; any other refuses the request
-  std::string mCustomer;                   ///< whom the caller's key belongs to; empty: none
-  std::optional<int> mUrgency;             ///< 0 is first; engines take the more urgent first
-  std::optional<std::uint64_t> mLastEvent; ///< go on after this event
+  Duration mDeadline{ 0 };     ///< time left until the caller's deadline
+  std::string mEngine;         ///< ID of the intended engine; any other engine refuses the request
+  std::string mCustomer;       ///< owner of the caller's API key; empty: none
+  std::optional<int> mUrgency; ///< 0 is the most urgent; engines run urgent requests first
+  std::optional<std::uint64_t> mLastEvent; ///< resume the stream after this event
 };
 
-/// What an engine says of its answer.
+/// Metadata that an engine's headers give about its answer.
 struct AnswerFacts
 {
-  bool mSealed = false;      ///< the engine made this answer itself and vouches for it
-  bool mNotRun = false;      ///< the engine states that it did not begin the request
-  bool mOtherEngine = false; ///< the address belongs to another engine than the one meant
-  std::string mRequestId;    ///< of the request that it answers; empty: not said
-  /// How long the engine keeps the connection open unused; none: not said.
+  bool mSealed = false; ///< the answer carries the engine's seal: the engine itself produced it
+  bool mNotRun = false; ///< the engine states that it did not start the request
+  bool mOtherEngine = false; ///< the address now belongs to another engine than the intended one
+  std::string mRequestId;    ///< ID of the answered request; empty: not given
+  /// How long the engine keeps an idle connection open; none: not given.
   std::optional<Duration> mKeepAlive;
-  /// Requests a second that the engine takes from all nodes together; none: it names no limit.
+  /// The engine's rate limit over all nodes, in requests per second; none: no limit given.
   std::optional<double> mLimit;
-  /// It names a limit that cannot be read, which does not say that there is none.
+  /// The rate limit could not be parsed. The engine may still have one.
   bool mBadLimit = false;
 };
 
+/// Translates between the platform's headers and the relay's types.
 struct Dialect
 {
   std::function<Result<RequestFacts>(const HeaderFields&)> mReadRequest;
-  /// Write the stamp over whatever the caller sent and take out what engines may not see.
+  /// Overwrites the caller's headers with the stamp and removes those that engines must not see.
   std::function<void(const RequestStamp&, HeaderFields* aFields)> mStampRequest;
   std::function<AnswerFacts(int aStatus, const HeaderFields&)> mReadAnswer;
 };
--- a/include/pepperbay/relay/event_splitter.hpp
+++ b/include/pepperbay/relay/event_splitter.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief A stream of server-sent events, taken apart into whole events. Pure.
+/// @brief Splits a stream of server-sent events into complete events. Pure: no I/O and no clock.
 #pragma once
 
 #include <cstdint>
@@ -9,15 +9,16 @@
 
 namespace pepperbay {
 
-/// One event, byte for byte with the empty line that ends it.
+/// One event, as received, including the empty line that ends it.
 struct StreamEvent
 {
   std::string mBytes;
   std::optional<std::uint64_t> mId;
 };
 
-/// Cuts bytes into events. An engine may fall silent or break off in the middle of an event; what
-/// is left is then no event, and passing it on would join it to the beginning of the next run.
+/// Splits bytes into events. An engine may stall or close its connection in the middle of an event.
+/// The incomplete event must not be forwarded: the caller would read it as joined to the first
+/// event of the engine that resumes the stream.
 ///
 /// @code
 /// splitter.Feed(bytes);
@@ -28,17 +29,17 @@
 public:
   void Feed(std::string_view aBytes) { mBytes.append(aBytes); }
   std::optional<StreamEvent> Next();
-  /// @return whether the bytes so far end inside an event.
+  /// @return whether the bytes received so far end inside an event.
   bool HasPartial() const { return mBytes.size() > mTaken; }
-  /// Bytes that wait for the end of their event.
+  /// @return bytes of the incomplete event at the end.
   std::size_t PartialBytes() const { return mBytes.size() - mTaken; }
-  /// Forget a partial event.
+  /// Discards all buffered bytes, an incomplete event included.
   void Reset();
 
 private:
   std::string mBytes;
   std::size_t mTaken = 0;
-  std::size_t mSearched = 0; ///< no event that is left ends before
+  std::size_t mSearched = 0; ///< no remaining event ends before this offset
 };
 
 } // namespace pepperbay
--- a/include/pepperbay/relay/latency.hpp
+++ b/include/pepperbay/relay/latency.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief How long something took, counted in fixed buckets.
+/// @brief Latency histogram with fixed buckets.
 #pragma once
 
 #include "pepperbay/base/clock.hpp"
@@ -9,8 +9,8 @@
 
 namespace pepperbay {
 
-/// Counts by upper bound. The bounds are dense where objectives lie, a tenth of a second to half a
-/// second, and reach to the longest deadline.
+/// Counts durations by upper bound. The bounds are dense between 100 and 500 ms, where the latency
+/// objectives lie, and reach up to the longest deadline.
 struct LatencyHistogram
 {
   static constexpr std::array<std::chrono::milliseconds, 12> kBounds = {
@@ -32,7 +32,8 @@
     mSum += aTook;
   }
 
-  std::array<std::uint64_t, kBounds.size() + 1> mCounts{}; ///< the last: beyond all bounds
+  std::array<std::uint64_t, kBounds.size() + 1>
+    mCounts{}; ///< the last one counts durations above all bounds
   Duration mSum{ 0 };
 };
 
--- a/src/pepperbay/relay/attempt.cpp
+++ b/src/pepperbay/relay/attempt.cpp
@@ -14,8 +14,9 @@
 namespace http = boost::beast::http;
 
 namespace {
-constexpr std::uint32_t kMostHeaderBytes = 65536; // of an engine's answer; more is no answer
-constexpr int kMostInterim = 16;                  // interim answers to one request; the same
+// An engine's answer that exceeds one of these limits is invalid.
+constexpr std::uint32_t kMostHeaderBytes = 65536;
+constexpr int kMostInterim = 16; // interim (1xx) answers to one request
 }
 
 Attempt::Attempt(EngineConnector* aConnector, ConnectionPool* aPool, AttemptTarget aTarget)
@@ -69,7 +70,8 @@
   http::async_write(mSocket->mSocket,
                     *mSerializer,
                     [self = shared_from_this()](boost::system::error_code aError, std::size_t) {
-                      // A failed write shows in the read, which may still find an early answer.
+                      // A failed write is reported by the read, which may still find an early
+                      // answer.
                       self->mAllWritten = !aError;
                     });
   ReadHead();
@@ -80,7 +82,7 @@
 {
   mParser.emplace();
   mParser->header_limit(kMostHeaderBytes);
-  mParser->body_limit(std::numeric_limits<std::uint64_t>::max()); // bounded by who collects it
+  mParser->body_limit(std::numeric_limits<std::uint64_t>::max()); // limited by the receiver
   if (mRequest.method() == http::verb::head) {
     mParser->skip(true);
   }
@@ -111,7 +113,7 @@
       Finish(false, "head: too many interim answers");
       return;
     }
-    ReadHead(); // the final one follows
+    ReadHead(); // the final answer follows
     return;
   }
   mEvents.mOnHead(static_cast<int>(mParser->get().result_int()), mParser->get().base());
@@ -219,7 +221,8 @@
 void
 Attempt::KeepConnection()
 {
-  // Bytes after the answer belong to no request; what is left of ours would be taken for the next.
+  // Unexpected bytes after the answer, or an unsent rest of this request, would corrupt the next
+  // exchange on the connection.
   if (mParser->keep_alive() && mBuffer.size() == 0 && mAllWritten) {
     mPool->Put(mTarget.mEngine, std::move(*mSocket), mKeepAlive, mMostIdle);
     return;
--- a/src/pepperbay/relay/attempt.hpp
+++ b/src/pepperbay/relay/attempt.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief One sending of one request to one engine, and its answer as it comes.
+/// @brief Sends a request once to one engine and reads the answer as it arrives.
 #pragma once
 
 #include "connection_pool.hpp"
@@ -27,55 +27,56 @@
 /// How an attempt ended.
 struct AttemptEnd
 {
-  bool mComplete = false; ///< the whole answer came, in the form of the protocol
-  /// It has neither a length nor chunks: nothing but the end of its connection says that it is
-  /// whole.
+  bool mComplete = false; ///< a complete and valid HTTP answer was received
+  /// The answer has neither a length nor chunked encoding: only the end of the connection marks its
+  /// end.
   bool mByClose = false;
-  /// False only with proof: no byte of the request left this process.
+  /// False only if no byte of the request left this process.
   bool mMayHaveRun = true;
   bool mClosed = false;   ///< the engine closed or reset the connection
-  bool mBadBytes = false; ///< what came is no answer in the protocol
-  /// A kept connection was closed without a byte of an answer: the engine may not have read the
-  /// request, and take it on a connection of its own.
+  bool mBadBytes = false; ///< the bytes received are not a valid HTTP answer
+  /// A pooled connection was closed without a byte of an answer. The engine may not have read the
+  /// request, and may accept it on a new connection.
   bool mStale = false;
-  bool mGone = false; ///< no process listens at its address, see EngineConnection
-  std::string mWhy;   ///< what went wrong; empty when complete
+  bool mGone = false; ///< no process listens at the engine's address, see EngineConnection
+  std::string mWhy;   ///< error; empty when complete
 };
 
 struct AttemptEvents
 {
-  /// The head of the answer. Call `ReadMore()` for its body.
+  /// Status and headers of the answer. Call `ReadMore()` for the body.
   std::function<void(int aStatus, const HeaderFields& aFields)> mOnHead;
   /// A piece of the body. Call `ReadMore()` for the next.
   std::function<void(std::string_view aBytes)> mOnBody;
-  /// Exactly once, last; not after `Cancel()`.
+  /// Called exactly once, as the last event; not after `Cancel()`.
   std::function<void(const AttemptEnd&)> mOnEnd;
 };
 
-/// A request on its way. Not for several threads; kept alive by its own operations.
+/// A request to one engine. Not thread-safe. Its pending operations keep it alive.
 class Attempt : public std::enable_shared_from_this<Attempt>
 {
 public:
   Attempt(EngineConnector* aConnector, ConnectionPool* aPool, AttemptTarget aTarget);
 
-  /// @param aFresh use a connection of its own. On a kept one an engine's close may cross the
-  /// request, and then nobody can tell whether it ran.
+  /// @param aFresh open a new connection. An engine may close a pooled connection while the request
+  /// is in flight, and then it is unknown whether the request ran.
   void Start(UpstreamRequest aRequest, bool aFresh, AttemptEvents aEvents);
-  /// Read on. Not before the last piece was handled.
+  /// Reads the next piece. Precondition: the last piece was handled.
   void ReadMore();
-  /// Give up: the engine sees its connection close.
+  /// Aborts the attempt and closes the connection, so that the engine can stop its work.
   void Cancel();
 
   const AttemptTarget& Target() const { return mTarget; }
-  /// @return whether a byte of the request may have left.
+  /// @return whether a byte of the request may have left this process.
   bool MayHaveRun() const { return mSent; }
-  /// @return whether the connection to the engine stands.
+  /// @return whether the connection to the engine is established.
   bool Connected() const { return mSocket.has_value(); }
-  /// @return the peer that carries the connection; empty while there is none.
+  /// @return the peer that tunnels the connection; empty for a direct one.
   const std::string& Peer() const { return mPeer; }
-  /// How long the engine said that it keeps the connection; set it before the end.
+  /// Sets the keep-alive time that the engine gave. Call it before the answer ends.
   void SetKeepAlive(std::optional<Duration> aKeepAlive) { mKeepAlive = aKeepAlive; }
-  /// Keep the connection only while fewer than this wait unused for the engine.
+  /// Sets the limit on idle connections to the engine; at the limit the connection is closed after
+  /// the answer.
   void SetMostIdle(std::size_t aMost) { mMostIdle = aMost; }
 
 private:
@@ -95,22 +96,22 @@
   ConnectionPool* mPool;
   AttemptTarget mTarget;
   AttemptEvents mEvents;
-  std::uint64_t mConnecting = 0; ///< while it is
+  std::uint64_t mConnecting = 0; ///< ID of the pending connect; 0: none
   std::optional<EngineSocket> mSocket;
   std::string mPeer;
   UpstreamRequest mRequest;
   std::optional<boost::beast::http::request_serializer<boost::beast::http::string_body>>
     mSerializer;
-  /// Bounded: the parser keeps a line until its end, and a line of a chunk has no other bound.
+  /// Bounded because the parser buffers whole lines, and a chunk's size line has no other limit.
   boost::beast::flat_buffer mBuffer{ kMostBuffered };
   std::optional<boost::beast::http::response_parser<boost::beast::http::buffer_body>> mParser;
   std::array<char, 8192> mPiece{};
   std::optional<Duration> mKeepAlive;
   std::size_t mMostIdle = 1;
-  int mInterim = 0; ///< answers that have come before the final one
+  int mInterim = 0; ///< interim (1xx) answers received
   bool mSent = false;
   bool mAllWritten = false;
-  bool mKept = false; ///< the connection had waited unused
+  bool mKept = false; ///< the connection came from the pool
   bool mClosed = false;
   bool mBadBytes = false;
   bool mStale = false;
--- a/src/pepperbay/relay/connecting.cpp
+++ b/src/pepperbay/relay/connecting.cpp
@@ -8,7 +8,8 @@
 namespace asio = boost::asio;
 
 namespace {
-/// All of eight peers are asked in three steps, within the time that a connection has.
+/// Factor for the number of peers asked in each step. All of eight peers are asked in three steps,
+/// within the connect timeout.
 constexpr std::size_t kAskGrowth = 3;
 }
 
@@ -90,7 +91,7 @@
   request.mEngine = mEngine.mEngine;
   request.mFrom = mConnector->mOptions.mNode;
   request.mKey = peer->mKey;
-  request.mWithin = mConnector->mOptions.mTimeout / 2; // its word has to come in time as well
+  request.mWithin = mConnector->mOptions.mTimeout / 2; // leaves time for its answer to arrive
   auto cancel = mConnector->mHooks.mAskPeer(
     mConnector->mContext,
     *peer,
@@ -123,7 +124,7 @@
   if (away || aTunnel.mSocket) {
     mConnector->mPeers.OnWorked(aPeer);
   } else {
-    // One that reaches nothing itself answers as promptly as others.
+    // A peer that is partitioned itself answers as promptly as others, so this counts as a failure.
     mConnector->mPeers.OnFailed(aPeer, mConnector->Now());
   }
   if (aTunnel.mSocket) {
@@ -156,10 +157,10 @@
 Connecting::OnWayFailed()
 {
   if (!mOpenings.empty()) {
-    return; // what is under way may still stand
+    return; // a pending tunnel may still be established
   }
   if (mDirect == Direct::kOnItsWay) {
-    AskPeer(); // a direct connection that only hangs is no reason to wait with the next peer
+    AskPeer(); // the pending direct connection must not delay the next peer
     return;
   }
   const bool decided = mDirect == Direct::kRefused ? mHeardOf >= 1 : mHeardOf >= 2;
@@ -182,7 +183,8 @@
     FinishUnconnected(twoRefused);
     return;
   }
-  // No second place has a word on it. A node that reaches other engines is not partitioned.
+  // No second node can tell. If this node reaches other engines, it is not partitioned, and its own
+  // refusal is enough.
   if (!mConnector->mPeers.Any() && !mConnector->HasOther(mEngine.mEngine)) {
     FinishUnconnected(true);
     return;
@@ -218,7 +220,7 @@
     if (!AskMorePeers() && mDirect == Direct::kNotBegun) {
       BeginDirect();
     }
-    mNextPeerAt = next; // not later by what the tick was late
+    mNextPeerAt = next; // a late tick does not delay later steps
   }
 }
 
--- a/src/pepperbay/relay/connecting.hpp
+++ b/src/pepperbay/relay/connecting.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief One connection to an engine on its way: directly, through peers, or both at once.
+/// @brief Opens one connection to an engine: directly, through peers, or both in parallel.
 #pragma once
 
 #include "engine_connector.hpp"
@@ -23,24 +23,26 @@
     kOnItsWay,
     kRefused,
     kFailed,
-    kNotTried, ///< this process has run out of something; says nothing of the engine
+    kNotTried, ///< this process lacked a resource such as descriptors; says nothing about the
+               ///< engine
   };
 
   void BeginDirect();
   void OnDirect(boost::system::error_code aError);
   static Direct FailureOf(boost::system::error_code aError);
-  /// @return whether there was one more to ask.
+  /// Asks the next peer for a tunnel. @return false if no peer is left to ask
   bool AskPeer();
-  /// Those that were asked have said nothing for a while: ask others beside them.
-  /// @return whether there was one more to ask
+  /// Asks more peers in parallel, since those asked so far have not answered in time.
+  /// @return false if no peer is left to ask
   bool AskMorePeers();
   void OnPeer(const std::string& aPeer, OpenedTunnel aTunnel);
-  /// Go on after one way has failed: ask the next peer, or end.
+  /// Continues after the direct connection or a tunnel has failed: asks the next peer or finishes.
   void OnWayFailed();
-  /// No way is left: end, perhaps once it is known whether this node reaches other engines.
+  /// No path is left: finishes, if necessary after a check whether this node reaches other engines.
   void OnNoWay();
   void FinishUnconnected(bool aGone);
-  /// A peer reaches the engine. @return whether a direct connection should have stood by now
+  /// Called when a peer reaches the engine. @return whether the direct connection has failed or is
+  /// overdue
   bool IsPathFault() const;
   void Finish(EngineConnection aConnection);
 
@@ -49,21 +51,21 @@
   EngineConnector::Done mDone;
   TimePoint mBegun{};
   TimePoint mNextPeerAt{};
-  std::size_t mAskNext = 1; ///< peers to ask at once then
+  std::size_t mAskNext = 1; ///< peers to ask in parallel at that time
   Direct mDirect = Direct::kNotBegun;
   TimePoint mDirectBegun{};
-  std::string mWhy; ///< what was wrong with the direct connection
+  std::string mWhy; ///< error of the direct connection
   Socket mSocket;
   struct AskedPeer
   {
     std::function<void()> mCancel;
     TimePoint mAt{};
   };
-  std::map<std::string, AskedPeer> mOpenings; ///< by peer
-  std::set<std::string> mAsked;               ///< peers
-  std::size_t mFailingAsked = 0;              ///< of these, that had failed lately
-  int mHeardOf = 0;                           ///< peers that had a word on the engine
-  int mRefusals = 0; ///< of these, that the engine refuses them and others do not
+  std::map<std::string, AskedPeer> mOpenings; ///< pending tunnels, by peer
+  std::set<std::string> mAsked;               ///< peers asked so far
+  std::size_t mFailingAsked = 0;              ///< asked peers that had failed recently
+  int mHeardOf = 0;                           ///< peers that reach others, but not this engine
+  int mRefusals = 0;                          ///< of these, peers that the engine refused
 };
 
 } // namespace pepperbay
--- a/src/pepperbay/relay/connection_pool.cpp
+++ b/src/pepperbay/relay/connection_pool.cpp
@@ -32,7 +32,7 @@
   }
   std::optional<EngineSocket> found;
   auto& all = idle->second;
-  // The one used last is the likeliest to live.
+  // The most recently used connection is the least likely to be closed.
   for (std::size_t i = all.size(); i > 0 && !found; --i) {
     Idle& last = all[i - 1];
     if (!aMayUse(last.mSocket.mPeer)) {
--- a/src/pepperbay/relay/connection_pool.hpp
+++ b/src/pepperbay/relay/connection_pool.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Connections to engines that wait for their next request.
+/// @brief Pool of idle connections to engines.
 #pragma once
 
 #include "engine_connector.hpp"
@@ -13,48 +13,53 @@
 
 namespace pepperbay {
 
-/// Engines bound the connections of all callers together, so a node keeps its own part only: of
-/// half of them, since those in use count as well.
-/// @param aMostOfAll what the engine takes from all callers; 0: not said
-/// @param aNodes that may be at work
-/// @return unused connections that one node keeps to one engine
+/// Engines limit the connections of all their clients together. A node may keep idle only its share
+/// of half of them, since connections in use count towards the limit as well.
+/// @param aMostOfAll the engine's limit on connections from all clients; 0: not given
+/// @param aNodes number of nodes that may connect to the engine
+/// @return limit on the idle connections that one node keeps to one engine
 std::size_t
 MostIdleConnections(int aMostOfAll, int aNodes);
 
 struct ConnectionPoolOptions
 {
-  /// Kept unused for this long where the engine does not say.
+  /// Idle time-out where the engine gives none.
   Duration mIdle = std::chrono::seconds(4);
-  /// Given up this long before the engine would, so that a request does not cross its close.
+  /// Connections are closed this long before the engine's own time-out, so that the engine does not
+  /// close one while a request is in flight.
   Duration mMargin = std::chrono::seconds(1);
 };
 
-/// Used by one thread only.
+/// Not thread-safe.
 ///
-/// An engine may close a kept connection, or put a late answer on it. So a connection is looked at
-/// before it is used again: one that shows an end or any byte is dropped, or the next request would
-/// get an answer that belongs to an earlier one.
+/// An engine may close an idle connection or write a late answer to it. So a connection is checked
+/// before reuse, and dropped if it is closed or has unread bytes; otherwise the next request could
+/// receive the answer to an earlier one.
 class ConnectionPool
 {
 public:
   ConnectionPool(const ConnectionPoolOptions& aOptions, NowFn aNow);
 
-  /// @param aEngine id of the engine's start: connections to an address that another engine has
-  /// taken over are not used
-  /// @param aMayUse by the peer that carries it; empty for none
+  /// Takes the most recently used connection that is still usable.
+  /// @param aEngine ID of the engine, not its address: connections to an address that another
+  /// engine has taken over must not be used
+  /// @param aMayUse whether a connection through this peer may be used; the empty name stands for
+  /// direct connections
   std::optional<EngineSocket> Take(const std::string& aEngine,
                                    const std::function<bool(const std::string& aPeer)>& aMayUse);
-  /// @param aKeepAlive what the engine said; none: the default
-  /// @param aMost unused connections to the engine; beyond that it is closed
+  /// Adds an idle connection, or closes it if the pool must not keep it.
+  /// @param aKeepAlive keep-alive time that the engine gave; none: the default
+  /// @param aMost limit on the idle connections to the engine
   void Put(const std::string& aEngine,
            EngineSocket aSocket,
            std::optional<Duration> aKeepAlive,
            std::size_t aMost);
-  /// Close what is kept to an engine.
+  /// Closes the idle connections to an engine.
   void Forget(const std::string& aEngine) { mIdle.erase(aEngine); }
-  /// Close what is kept and carried by a peer, or by none, for which `aForgets` is true.
+  /// Closes idle connections by peer: those for which `aForgets` is true, which is called with the
+  /// empty name for direct connections.
   void ForgetCarriedBy(const std::function<bool(const std::string& aPeer)>& aForgets);
-  /// Close what has been unused for too long.
+  /// Closes connections whose idle time-out has passed.
   void Tick();
   std::size_t Size() const;
 
--- a/src/pepperbay/relay/ending_probe.hpp
+++ b/src/pepperbay/relay/ending_probe.hpp
@@ -1,11 +1,11 @@
 /// @file
-/// @brief Finds out whether an engine that broke its connections off has ended. Used by the relay's
-/// thread only.
+/// @brief Checks whether an engine that closed connections during requests has exited. Used by the
+/// relay's thread only.
 ///
-/// A connection that an engine closes in the middle of an answer says little: the engine may have
-/// been reset, cut off, or may fail single requests. An engine whose process has ended refuses the
-/// next connection, from wherever it is asked; see EngineConnection. What a request is suspected of
-/// rests on that alone.
+/// A connection that is closed in the middle of an answer proves little: the connection may have
+/// been reset, the network may be partitioned, or the engine may fail single requests. An engine
+/// whose process has exited refuses the next connection, whichever node opens it; see
+/// EngineConnection. Only that makes a request a suspect.
 #pragma once
 
 #include "attempt.hpp"
@@ -19,45 +19,46 @@
 
 namespace pepperbay {
 
-/// A request that an engine had when it closed the connection.
+/// A request whose connection the engine closed before the answer was complete.
 struct BrokenOff
 {
   RequestKey mKey;
-  std::string mRequest; ///< id of the caller's attempt, for the log
+  std::string mRequest; ///< the caller's request ID, for the log
   std::vector<PromptPart> mParts;
   Suspicion mSuspicion = Suspicion::kPresent;
   TimePoint mAt{};
   bool mOfReplica = false; ///< the engine was the head of a replica
-  bool mOnce = false;      ///< of a plain service, and may run only once
+  bool mOnce = false;      ///< to a plain service, and must not run twice
 };
 
 class EndingProbe
 {
 public:
-  /// A process that ends closes its connections and its listener within this.
+  /// An exiting process closes its connections and its listening socket within this time.
   static constexpr std::chrono::milliseconds kAskAfter{ 10 };
-  /// Requests kept for one engine until it is known whether it ended; more than it has places.
+  /// Limit on the requests that are kept for one engine until its state is known. More than an
+  /// engine has slots.
   static constexpr std::size_t kMostKept = 256;
 
   using OnFound = std::function<void(const AttemptTarget&, const std::vector<BrokenOff>&)>;
 
-  /// @param aPool takes the connections of engines that turn out to be alive
-  /// @param aOnEnded an engine has ended, with these requests
-  /// @param aOnAlive an engine that broke these off is alive, and reached directly: so it was not
-  /// the path that failed
+  /// @param aPool receives the connections to engines that turn out to be alive
+  /// @param aOnEnded called when an engine has exited while it had these requests
+  /// @param aOnAlive called when an engine that closed the connections of these requests is alive
+  /// and reached directly, so that the network path was not at fault
   EndingProbe(EngineConnector* aConnector,
               NowFn aNow,
               ConnectionPool* aPool,
               OnFound aOnEnded,
               OnFound aOnAlive);
 
-  /// An engine closed a request's connection before its answer was whole.
+  /// Notes that an engine closed a request's connection before the answer was complete.
   void OnBrokenOff(const AttemptTarget& aEngine, BrokenOff aRequest);
-  /// Ask the engines that are due.
+  /// Connects to the engines whose check is due.
   void Tick();
 
 private:
-  /// Of one start of one engine.
+  /// Pending check of one engine process.
   struct Pending
   {
     AttemptTarget mTarget;
--- a/src/pepperbay/relay/engine_connector.cpp
+++ b/src/pepperbay/relay/engine_connector.cpp
@@ -8,7 +8,7 @@
 
 namespace pepperbay {
 
-/// A connection that is only tried to see whether it stands.
+/// A direct connection that is opened to test the network path.
 struct EngineConnector::Trial
 {
   Trial(boost::asio::io_context& aContext, AttemptTarget aEngine)
@@ -20,7 +20,7 @@
   Socket mSocket;
   AttemptTarget mEngine;
   TimePoint mUntil{};
-  std::function<void(bool)> mDone; ///< null once it is over
+  std::function<void(bool)> mDone; ///< null once it is finished
 };
 
 std::function<void()>
@@ -75,7 +75,7 @@
 EngineConnector::Tick()
 {
   const TimePoint now = Now();
-  // Copies, since one that ends leaves the list.
+  // Copies, since a finished connect removes itself from the map.
   std::vector<std::shared_ptr<Connecting>> connecting;
   for (const auto& [id, it] : mConnecting) {
     connecting.push_back(it);
@@ -246,7 +246,7 @@
     return;
   }
   mFaultsLooked[aEngine] = aBegun;
-  // One that has been tried for another fault may be at fault itself by now.
+  // An engine that is probed for another fault may have become unreachable itself.
   mTriedForFaults.insert(aEngine);
   for (std::size_t i = 0; i < kLooksAtFault; ++i) {
     if (const auto other = NextToTry(mTriedForFaults)) {
@@ -260,7 +260,7 @@
     }
   }
   if (mLooks == 0) {
-    NoteLookedFaults(); // there is no other engine
+    NoteLookedFaults(); // there was no other engine to probe
   }
 }
 
@@ -269,7 +269,7 @@
 {
   mTriedForFaults.clear();
   for (const auto& [engine, begun] : std::exchange(mFaultsLooked, {})) {
-    NotePathFault(engine, begun); // an engine that answered was heard after it had begun
+    NotePathFault(engine, begun); // an answering engine has updated mHeardAt after `begun`
   }
 }
 
--- a/src/pepperbay/relay/engine_connector.hpp
+++ b/src/pepperbay/relay/engine_connector.hpp
@@ -1,10 +1,11 @@
 /// @file
-/// @brief Connections to engines: of this node's own, or through a peer where that does not stand.
-/// Used by the relay's thread only.
+/// @brief Connections to engines: direct ones, or tunnels through a peer where the direct path
+/// fails. Used by the relay's thread only.
 ///
-/// Connecting costs an engine nothing and runs nothing, so a second way is tried beside the first
-/// after tens of milliseconds, for every kind of request; the request itself is sent once, over the
-/// connection that stands first. What that shows of the path is kept, see reach/way_book.hpp.
+/// Opening a connection costs an engine almost nothing and runs nothing. So a second path is tried
+/// in parallel after some tens of milliseconds, for every kind of request. The request itself is
+/// sent once, over the first connection that is established. What this shows about the network
+/// paths is recorded, see reach/way_book.hpp.
 #pragma once
 
 #include "pepperbay/reach/proxy_choice.hpp"
@@ -27,25 +28,26 @@
 {
   std::string mEngine;
   std::string mAddress; ///< IP:port
-  WallTime mBorn{};     ///< of the engine's start
+  WallTime mBorn{};     ///< when the engine process started
   std::string mDataCentre;
 };
 
-/// A connection to an engine that stands.
+/// An established connection to an engine.
 struct EngineSocket
 {
   Socket mSocket;
-  std::string mPeer;                ///< that carries it; empty: none
-  std::shared_ptr<void> mCarriedBy; ///< counts it as long as it is there
+  std::string mPeer;                ///< peer that tunnels the connection; empty: direct
+  std::shared_ptr<void> mCarriedBy; ///< counts the tunnel at its peer until it is released
 };
 
-/// What came of connecting.
+/// Result of a connection attempt.
 struct EngineConnection
 {
   std::optional<EngineSocket> mSocket;
-  /// No process listens at its address, by the word of two places that reach other engines.
+  /// No process listens at the engine's address: two nodes that reach other engines were refused,
+  /// or this one was if no second node can tell.
   bool mGone = false;
-  std::string mWhy; ///< it does not stand
+  std::string mWhy; ///< error; empty when connected
 };
 
 struct EngineConnectorOptions
@@ -53,29 +55,30 @@
   std::string mNode;
   std::string mDataCentre;
   Duration mTimeout = std::chrono::milliseconds(120);
-  /// A peer is asked where a connection does not stand after this: several round trips between data
-  /// centres.
+  /// A peer is asked for a tunnel if no connection is established after this time. Several round
+  /// trips between data centres.
   Duration mPeerAfter = std::chrono::milliseconds(20);
-  /// The path to an engine that is silent and was found well is tried again after this, and then
-  /// after twice the time, up to the most, for as long as that goes on.
+  /// First interval between probes of a silent engine whose path was found to work. It doubles with
+  /// each probe up to the limit below, as long as the engine stays silent.
   Duration mLookAgain = std::chrono::milliseconds(500);
   Duration mLookAgainMost = std::chrono::seconds(4);
-  /// So many of the peers that have failed lately are asked for one connection, after the others.
+  /// Limit on the recently failed peers that are asked for one connection. They are asked after all
+  /// others.
   std::size_t mMostFailing = 3;
 };
 
-/// Begins a connection; see Dial().
+/// Starts to connect; see Dial().
 using DialFn = std::function<
   void(Socket&, const std::string& aAddress, std::function<void(boost::system::error_code)> aDone)>;
 
-/// Asks a peer for a connection to an engine. @return what ends the question without an answer
+/// Asks a peer for a tunnel to an engine. @return a function that cancels the request
 using AskPeerFn = std::function<std::function<void()>(boost::asio::io_context&,
                                                       const ProxyPeer&,
                                                       const std::string& aAddress,
                                                       const TunnelRequest&,
                                                       TunnelOpening::Done)>;
 
-/// Asks over the network, with a TunnelOpening.
+/// Default AskPeerFn: asks over the network with a TunnelOpening.
 std::function<void()>
 OpenTunnel(boost::asio::io_context& aContext,
            const ProxyPeer& aPeer,
@@ -86,13 +89,13 @@
 struct EngineConnectorHooks
 {
   NowFn mNow;
-  /// Own connections are avoided from now on, or used again.
+  /// Direct connections are avoided from now on, or used again.
   std::function<void(bool aAvoids)> mOnAvoid;
-  /// Engines that may be tried to see whether the path works.
+  /// @return engines that may be connected to in order to test the network path.
   std::function<std::vector<AttemptTarget>()> mEngines;
-  /// A peer carries a connection from now on.
+  /// A tunnel through a peer was established.
   std::function<void()> mOnCarried;
-  /// A connection that was only tried stands, and may be used.
+  /// A probe connection was established and may be used for requests.
   std::function<void(const AttemptTarget&, EngineSocket)> mKeep;
   DialFn mDial = &Dial;
   AskPeerFn mAskPeer = &OpenTunnel;
@@ -100,6 +103,10 @@
 
 class Connecting;
 
+/// @code
+/// const std::uint64_t id = connector.Connect(engine, [](EngineConnection aConnection) { ... });
+/// connector.Cancel(id); // if it is no longer needed
+/// @endcode
 class EngineConnector
 {
 public:
@@ -112,38 +119,40 @@
   EngineConnector(const EngineConnector&) = delete;
   EngineConnector& operator=(const EngineConnector&) = delete;
 
-  /// @param aDone called once, later, unless it is cancelled
-  /// @return for `Cancel()`
+  /// Opens a connection.
+  /// @param aDone called once, asynchronously, unless the connect is cancelled
+  /// @return ID for `Cancel()`
   std::uint64_t Connect(const AttemptTarget& aEngine, Done aDone);
   void Cancel(std::uint64_t aId);
   void Tick();
 
-  /// A byte of an engine came.
-  /// @param aPeer that carries the connection; empty: none
+  /// Notes that bytes of an engine were received.
+  /// @param aPeer peer that tunnels the connection; empty: direct
   void OnHeard(const std::string& aEngine, const std::string& aPeer);
-  /// Nothing has come from an engine for long that should have written: see whether its path works,
-  /// unless that has just been done.
+  /// Probes the path to an engine that should have written and has been silent for long, unless it
+  /// was probed recently.
   void Look(const AttemptTarget& aEngine);
-  /// The engine is listed no more.
+  /// Discards what is recorded about an engine that is no longer listed.
   void Forget(const std::string& aEngine);
-  /// @return when an engine was last heard directly; the zero time for never.
+  /// @return when bytes of this engine last arrived over a direct connection; the zero time for
+  /// never.
   TimePoint HeardAt(const std::string& aEngine) const;
-  /// Find out whether this node reaches any engine but this one; see TunnelServerHooks. Bytes over
-  /// a connection that was there before prove nothing: it may live on while new ones fail.
+  /// Checks whether this node reaches any engine other than `aEngine`; see TunnelServerHooks. Only
+  /// connections opened since `aSince` count: an older one may still work while new ones fail.
   void FindSight(const std::string& aEngine, TimePoint aSince, std::function<void(bool)> aDone);
-  /// A peer that carries something has given nothing for long.
+  /// Notes that a tunnel of a peer has been silent for long.
   void OnPeerSilent(const std::string& aPeer);
 
   Way WayTo(const std::string& aEngine) const;
-  /// @return whether a kept connection may be used for an engine.
+  /// @return whether an idle connection through this peer may be used for an engine.
   bool MayUse(const std::string& aEngine, const std::string& aPeer) const;
   bool Avoids() const { return mWays.Avoids(); }
   TimePoint AvoidsSince() const { return mWays.AvoidsSince(); }
   TimePoint HeardAt() const { return mHeardAt; }
-  /// @return whether they differ from those before.
+  /// @return whether the peers differ from the previous ones.
   bool SetPeers(std::shared_ptr<const ProxyPeers> aPeers);
   bool IsPeer(const std::string& aNode) const { return mPeers.Knows(aNode); }
-  /// @return whether there is another way than this node's own.
+  /// @return whether there are peers that can tunnel connections.
   bool HasPeers() const { return mPeers.Any(); }
 
 private:
@@ -151,22 +160,22 @@
 
   TimePoint Now() const { return mHooks.mNow(); }
   void OnConnected(const std::string& aEngine);
-  /// Engines that are tried after a fault, since one of them may pause as well.
+  /// Other engines probed after a path fault. More than one, since one of them may pause as well.
   static constexpr std::size_t kLooksAtFault = 2;
 
-  /// A peer has reached an engine that this node has not. Whether that is all engines' paths is
-  /// seen from others first: this one may just have paused.
+  /// A peer has reached an engine that this node has not reached. Other engines are probed before
+  /// the fault is recorded: this engine may only have paused.
   void OnPathFault(const std::string& aEngine, TimePoint aBegun);
   void NotePathFault(const std::string& aEngine, TimePoint aBegun);
   void NoteLookedFaults();
   void TellAvoid();
-  /// Try whether own connections to engines stand again.
+  /// Probes whether direct connections to engines work again.
   void TryWay();
-  /// Try a connection of this node's own, only to see whether it stands.
+  /// Opens a direct connection to test the path.
   void Try(const AttemptTarget& aEngine, Duration aWithin, std::function<void(bool aStands)> aDone);
-  /// @return an engine to try, another each time; null where there is none.
+  /// @return an engine to probe, in rotation; none if there is no other.
   std::optional<AttemptTarget> NextToTry(const std::set<std::string>& aExcept);
-  /// @return whether there is any engine but this one.
+  /// @return whether there is any engine other than this one.
   bool HasOther(const std::string& aEngine) const;
 
   struct Trial;
@@ -176,11 +185,11 @@
   EngineConnectorHooks mHooks;
   WayBook mWays;
   ProxyChoice mPeers;
-  LastHeard mLastStood; ///< own connections when they were begun
-  TimePoint mHeardAt{}; ///< any byte over own connections
+  LastHeard mLastStood; ///< direct connections that were established, by engine
+  TimePoint mHeardAt{}; ///< last bytes of any engine over a direct connection
   std::map<std::uint64_t, std::shared_ptr<Connecting>> mConnecting;
   std::vector<std::shared_ptr<Trial>> mTrials;
-  std::unordered_map<std::string, TimePoint> mHeardOf; ///< by engine, over own connections
+  std::unordered_map<std::string, TimePoint> mHeardOf; ///< by engine, over direct connections
   struct Looked
   {
     TimePoint mNext{};
@@ -189,10 +198,11 @@
   std::unordered_map<std::string, Looked> mLooked; ///< by engine
   std::uint64_t mLastId = 0;
   std::size_t mTried = 0;
-  /// Engines whose path faults wait for looks at others, and when their connections were begun.
+  /// Engines with a path fault that waits for the probes of other engines, and when the connection
+  /// to each was started.
   std::map<std::string, TimePoint> mFaultsLooked;
-  std::set<std::string> mTriedForFaults; ///< these, and the engines that are looked at
-  std::size_t mLooks = 0;                ///< under way
+  std::set<std::string> mTriedForFaults; ///< these engines, and those that are probed for them
+  std::size_t mLooks = 0;                ///< pending probes for them
   bool mToldAvoid = false;
 };
 
--- a/src/pepperbay/relay/event_splitter.cpp
+++ b/src/pepperbay/relay/event_splitter.cpp
@@ -6,12 +6,12 @@
 namespace pepperbay {
 namespace {
 
-constexpr std::size_t kCompactAt = 4096; // bytes taken before the buffer is moved together
+constexpr std::size_t kCompactAt = 4096; // consumed bytes, after which the buffer is compacted
 
 constexpr std::string_view kUnix = "\n\n";
 constexpr std::string_view kInternet = "\r\n\r\n";
 
-/// @return the offset after the empty line that ends an event; npos when there is none yet.
+/// @return the offset after the empty line that ends the first event; npos if there is none yet.
 std::size_t
 EndOfEvent(std::string_view aBytes)
 {
@@ -51,7 +51,7 @@
 std::optional<StreamEvent>
 EventSplitter::Next()
 {
-  // The empty line may have begun in what was looked through before.
+  // The empty line may begin in bytes that were searched before.
   const std::size_t from = std::max(mTaken, mSearched - std::min(mSearched, kInternet.size() - 1));
   const std::string_view bytes(mBytes);
   const std::size_t end = EndOfEvent(bytes.substr(from));
--- a/src/pepperbay/relay/exchange.cpp
+++ b/src/pepperbay/relay/exchange.cpp
@@ -17,9 +17,9 @@
 constexpr int kNotFound = 404;
 constexpr int kBadRequest = 400;
 
-/// Bytes of an answer that is collected whole before it is passed on; plain answers are small.
+/// Limit on a plain answer, which is buffered completely before it is forwarded.
 constexpr std::size_t kMostWholeBytes = 16U << 20U;
-/// Bytes of one answer that may be kept though others keep too much.
+/// Bytes that one answer may always buffer, even when the limit on all answers is exceeded.
 constexpr std::size_t kAlwaysKept = 64U << 10U;
 
 } // namespace
@@ -98,7 +98,7 @@
     return true;
   }
   if (mCore->Now() >= aPlan.mKeysValidUntil) {
-    // The configuration could have taken the key away without this node having heard of it.
+    // A newer configuration that this node has not received may have revoked the key.
     Refuse("keys_out_of_date");
     return false;
   }
@@ -119,7 +119,8 @@
                      const char* aDetail)
 {
   if (mCore->Now() >= aPlan.mMissesValidUntil) {
-    // A newer configuration may have it; elsewhere, or in a moment, the request may be served.
+    // A newer configuration may have it: another node, or this one a moment later, may serve the
+    // request.
     Refuse("configuration_out_of_date");
     return;
   }
@@ -259,7 +260,7 @@
   std::string ready;
   while (auto event = mSplitter.Next()) {
     if (event->mId && mLastEvent && *event->mId <= *mLastEvent) {
-      continue; // the caller has it
+      continue; // the caller has this event already
     }
     if (event->mId) {
       mLastEvent = event->mId;
@@ -298,8 +299,8 @@
 Exchange::PushToCaller(const std::string& aEvents)
 {
   mPushing = true;
-  // While a slow caller keeps the events back, the engine's silence says nothing of it: counted, it
-  // could have the replica formed anew under the streams of all other callers.
+  // While a slow caller delays the reading, the engine's silence does not count. Otherwise the
+  // replica could be re-formed because of it, which would break the streams of all other callers.
   Unwatch(&mCurrent);
   mCaller->Push(aEvents, [self = shared_from_this(), serial = mCurrent.mSerial] {
     self->mPushing = false;
@@ -349,7 +350,7 @@
   NoteRan(!aEnd.mByClose);
   ++mCore->mCounters.mAnswered;
   if (!mStreamStarted) {
-    // A stream without any event; its end says that it is whole.
+    // A stream without any event is complete when it ends.
     mStreamStarted = true;
     mFields.erase(http::field::content_length);
     mCaller->StartStream(mStatus, mFields);
@@ -368,7 +369,7 @@
   if (mRequest.method() != http::verb::head) {
     answer.content_length(answer.body().size());
   }
-  // An engine's own failure of a request that may run again: another engine may do better.
+  // The engine answered with an error and the request may run again: another engine may succeed.
   const bool failed = mStatus >= kServerFailure && mRoute->Repeatable() && !mFallback;
   if (failed && mNext) {
     mFallback = std::move(answer);
--- a/src/pepperbay/relay/exchange.hpp
+++ b/src/pepperbay/relay/exchange.hpp
@@ -1,5 +1,6 @@
 /// @file
-/// @brief One request of a caller: routed, sent to an engine, perhaps to a second, answered once.
+/// @brief Handles one request of a caller: routes it, sends it to one engine or more, and answers
+/// the caller once.
 #pragma once
 
 #include "attempt.hpp"
@@ -18,242 +19,252 @@
 using CallerRequest = boost::beast::http::request<boost::beast::http::string_body>;
 using CallerAnswer = boost::beast::http::response<boost::beast::http::string_body>;
 
-/// The way back to the caller. One of `SendWhole()`, or `StartStream()` with `Push()`es and one of
-/// `EndStream()` and `Break()`.
+/// Sends the answer to the caller: either one `SendWhole()`, or `StartStream()`, any number of
+/// `Push()` and then one `EndStream()` or `Break()`.
 class CallerSide
 {
 public:
   virtual ~CallerSide() = default;
   virtual void SendWhole(CallerAnswer aAnswer) = 0;
   virtual void StartStream(int aStatus, const HeaderFields& aFields) = 0;
-  /// @param aDone called when the bytes have gone out and more may follow
+  /// @param aDone called when the bytes are written and more may follow
   virtual void Push(const std::string& aBytes, std::function<void()> aDone) = 0;
   virtual void EndStream() = 0;
-  /// Cut the connection, so that the answer cannot look complete.
+  /// Aborts the connection, so that the answer cannot look complete.
   virtual void Break() = 0;
 };
 
-/// One sending of a request to one engine.
+/// One dispatch of a request to one engine.
 struct Sending
 {
-  std::uint64_t mSerial = 0; ///< events of sendings that were dropped are told apart by it
+  std::uint64_t mSerial = 0; ///< unique in the exchange; identifies events of abandoned dispatches
   std::shared_ptr<Attempt> mAttempt;
   AttemptTarget mTarget;
-  std::string mGroup;       ///< the replica that it went to; empty for a plain engine
-  std::uint64_t mEpoch = 0; ///< of that replica
+  std::string mGroup;       ///< target replica; empty for an engine of a plain service
+  std::uint64_t mEpoch = 0; ///< epoch of that replica
   PlaceTicket mTicket;
   RateGrant mRate;
   TimePoint mSentAt{};
-  std::optional<TimePoint> mHeadAt; ///< its answer began: it runs the request
+  std::optional<TimePoint> mHeadAt; ///< when the answer began: the engine runs the request
   TimePoint mLastEventAt{};
-  TimePoint mHeardAt{};                ///< its last byte; the zero time for none
-  std::optional<TimePoint> mLostSince; ///< the plan speaks against its replica since then
-  bool mWriting = false;               ///< it has given an event
-  bool mWatched = false;               ///< its silence counts: nothing else keeps its events back
-  bool mRepeats = false; ///< its engine was counted for a sending whose connection was stale
-  bool mStale = false;   ///< it went on a kept connection that was closed without an answer
-  bool mFailed = false;  ///< it has come to nothing
-  bool mRunsOn = false;  ///< noted as one that ends no engine
+  TimePoint mHeardAt{}; ///< when bytes last arrived; the zero time for never
+  std::optional<TimePoint>
+    mLostSince;          ///< since when the plan reports the replica lost or re-formed
+  bool mWriting = false; ///< the engine has sent an event
+  bool mWatched = false; ///< the engine's silence is measured: the relay is ready to read
+  bool mRepeats = false; ///< repeats a dispatch to this engine that failed on a stale connection
+  bool mStale = false;   ///< sent on a pooled connection that was closed without an answer
+  bool mFailed = false;  ///< the dispatch has failed
+  bool mRunsOn = false;  ///< noted as running too long to be the cause of an exit
 };
 
-/// A kept connection that was closed under a request. The engine may not have read the request and
-/// may be well: the next connection there shows it.
+/// A pooled connection that was closed after a request was sent. The engine may be alive and not
+/// have read the request; the next connection to it shows that.
 struct StaleConnection
 {
   AttemptTarget mTarget;
-  BrokenOff mRequest; ///< what is noted if the engine has ended
+  BrokenOff mRequest; ///< reported if the engine has exited
 };
 
-/// What could be sent nowhere, and is tried again.
+/// A retry that is waiting until an engine can take the request.
 struct AwaitedAttempt
 {
-  std::string mWhy; ///< the last one came to nothing
+  std::string mWhy; ///< why the last attempt failed
   TimePoint mAskAt{};
 };
 
+/// A request of a caller, from its arrival to the end of its answer. Used by the relay's thread
+/// only.
 class Exchange : public std::enable_shared_from_this<Exchange>
 {
 public:
   Exchange(RelayCore* aCore, CallerSide* aCaller, CallerRequest aRequest, TimePoint aArrived);
 
   void Start();
-  /// The caller's connection has ended: stop the work at the engine.
-  /// @param aWhy for people
+  /// The caller's connection was closed: stops the work at the engine.
+  /// @param aWhy for the log
   void OnCallerGone(const std::string& aWhy);
-  /// @return the request's id; empty until its head is understood.
+  /// @return the request's ID; empty until its headers are parsed.
   const std::string& RequestId() const { return mFacts.mId; }
-  /// Do what is due by time; called every tick.
+  /// Handles deadlines and other time-outs; called every tick.
   void Tick();
-  /// The process is about to end.
+  /// Aborts the request because the process is about to exit.
   void GiveUp();
-  /// @return the sending whose answer is awaited over an own connection; null for none.
+  /// @return the dispatch whose answer is awaited over a direct connection; null for none.
   const Sending* DirectSending() const;
 
 private:
   enum class Phase
   {
-    kPlacing, ///< waits for a place at a replica
+    kPlacing, ///< waits for a slot at a replica
     kWaiting, ///< sent to an engine, no answer yet
-    kWhole,   ///< an answer is being collected
-    kEvents,  ///< events are passed on as they come
+    kWhole,   ///< a plain answer is being buffered
+    kEvents,  ///< events are forwarded as they arrive
     kOver,
   };
 
   bool CheckCustomer(const TrafficPlan& aPlan);
-  /// Answer that the configuration does not have what the request names, or, where a newer one may
-  /// have it, that the request has not run.
+  /// Answers that the configuration lacks what the request names or, where a newer configuration
+  /// may have it, that the request has not run.
   void RefuseMiss(const TrafficPlan& aPlan, int aStatus, const char* aReason, const char* aDetail);
   using NoPlace = std::function<void(const std::string& aWhy)>;
-  /// Find an engine and send, or call `aOtherwise` with the reason why there is none.
-  /// @param aAgain draws on the budget of second attempts
+  /// Selects an engine and sends the request, or calls `aOtherwise` with the reason why none is
+  /// available.
+  /// @param aAgain this is a retry and draws on the retry budget
   void PlaceAndSend(bool aAgain, const NoPlace& aOtherwise);
-  /// The same, with the budget drawn where it is a plain service's.
+  /// The same, after the retry budget of a plain service was drawn on.
   void FindAndSend(bool aAgain, const NoPlace& aOtherwise);
   PlaceRequest MakePlaceRequest(bool aAgain) const;
-  /// Ask for a place in a pool. A second attempt that requests have not earned is asked for from
-  /// whoever keeps the rest of the budget.
+  /// Requests a slot in a pool. If the pool's share of the retry budget is used up, the retry is
+  /// requested from the node that holds the rest of the budget.
   void AskForPlace(bool aAgain, PlaceAgent::Done aDone);
   static Sending SendingTo(const Place& aPlace);
-  /// To an engine of a plain service; nothing when there is none.
+  /// @return a dispatch to an engine of a plain service; none if no engine is available.
   std::optional<Sending> ChooseEngine() const;
-  /// @return the engine of the stale connection, as the plan lists it, until the request goes there
-  /// again; null for none.
+  /// @return the engine of the stale connection, as listed in the plan, until the request is sent
+  /// to it again; null for none.
   const EngineTarget* StaleEngine() const;
-  /// @return whether it may be sent to an engine that it has not been sent to.
+  /// @return whether the attempt limit allows an engine that the request was not yet sent to.
   bool MayAskFurther() const;
-  /// @return engines of a pool that may have it once more, where none of it stands.
+  /// @return engines of a pool to which the request may be sent a second time, since no dispatch to
+  /// them is pending.
   std::set<std::string> AskOnceMore() const;
-  /// @return engines that it may not be sent to.
+  /// @return engines to which the request must not be sent.
   std::set<std::string> Barred() const;
-  /// @return engines that it is not sent to now: those, and for a second attempt heads that are
-  /// silent, while another one takes it.
+  /// @return engines to exclude now: the barred ones, and for a retry also silent heads, as long as
+  /// another engine remains.
   std::set<std::string> LeftOut() const;
-  /// @return heads of a pool whose streams at this node stand still.
+  /// @return heads of a pool whose streams at this node have stalled.
   std::set<std::string> SilentHeads() const;
-  /// @return whether an engine beside those could take it, as far as this node knows.
+  /// @return whether an engine outside this set could take the request, as far as this node knows.
   bool HasTargetBeside(const std::set<std::string>& aLeftOut) const;
-  /// @return whether a place that was granted is one that it may go to.
+  /// @return whether the request may be sent to the engine of a granted slot.
   bool IsUsable(const Place& aPlace) const;
-  /// @return whether another engine could take it, as far as this node knows.
+  /// @return whether another engine could take the request, as far as this node knows.
   bool HasTarget() const;
-  /// @return whether the pool bears one more second attempt.
+  /// @return whether the retry budget allows another attempt.
   bool HasBudget() const;
-  /// Send it there, in place of what was dropped.
+  /// Sends the request to an engine. Precondition: no other dispatch is pending.
   void SendToEngine(Sending aTo);
-  /// Begin a sending: it counts, and its events go to the current one's or the next one's handlers.
+  /// Starts a dispatch and counts it. Its events go to the handlers of the current dispatch or of
+  /// the hedge.
   void Launch(Sending* aSending);
   void OnDeadline();
-  /// The connection to an engine did not stand.
+  /// Notes that the connection to an engine could not be established.
   void NoteUnreached(const Sending& aSending, const std::string& aWhy);
   /// @return whether the request may be sent to another engine.
   bool MayAskSecond() const;
-  /// Ask a second engine where the first one is silent for too long.
+  /// Sends a hedge to a second engine if the first one has been silent for too long.
   void AskSecondIfDue();
-  /// @return whether a stream may be moved now, if there is a place for it.
+  /// @return whether a stream may be moved now, if a slot is available.
   bool MayMove() const;
-  /// Ask for a place at another replica, and send the request there as well.
+  /// Requests a slot at another replica, and sends the request there as well.
   void Move(const std::string& aWhy);
-  /// Send a request that may run again to another plain engine as well.
+  /// Sends a safe request to another engine of a plain service as well.
   void AskSecondEngine();
 
-  // The second engine that is asked while the first still stands.
+  // The hedge: a second dispatch while the first one is still pending.
   void StartNext(Sending aTo, const std::string& aWhy);
   void OnNextHead(int aStatus, const HeaderFields& aFields);
   void OnNextEnd(const AttemptEnd& aEnd);
-  /// The second engine came to nothing; the first goes on.
+  /// The hedge has failed; the first dispatch continues.
   void DropNext(const std::string& aWhy, bool aMayHaveRun);
-  /// The second engine has the request from here on.
+  /// Abandons the first dispatch and makes the hedge the current one.
   void TakeNext();
-  /// How far the request has come, where no attempt stands.
+  /// @return the state of the request for AfterFailure(). Precondition: no dispatch is pending.
   RequestProgress Progress() const;
-  /// The last attempt has failed: send again, wait until that is possible, or say so.
+  /// The last attempt has failed: sends the request again, waits until that is possible, or answers
+  /// with an error.
   void AfterAttempt(const std::string& aWhy, RequestProgress aProgress);
-  /// What was to go on elsewhere could be sent nowhere.
+  /// Counts that no engine was found for resuming the request elsewhere.
   void CountRefusedMove(const std::string& aWhy);
-  /// Try again what could be sent nowhere, once that is due.
+  /// Retries a request that no engine could take, once that is due.
   void TickAwaited();
-  /// Give back what is counted for a sending that is over.
+  /// Releases the resources that are counted for a finished dispatch.
   void EndCounts(Sending* aSending);
   UpstreamRequest MakeUpstreamRequest(const AttemptTarget& aTarget) const;
   Duration Left() const { return mDeadlineAt - mCore->Now(); }
 
   void OnHead(int aStatus, const HeaderFields& aFields);
-  /// A byte of the engine has come.
+  /// Notes that bytes of the engine were received.
   void NoteHeard(Sending* aSending);
-  /// What the head of an answer says of the engine that gave it.
+  /// Notes what the headers of an answer show about the engine.
   void NoteHead(const Sending& aSending, const AnswerFacts& aFacts);
-  /// What it says of the requests that the engine takes.
+  /// Notes the rate limit in the headers of an answer.
   void NoteLimit(const Sending& aSending, const AnswerFacts& aFacts);
-  /// Count a sending to an engine that has a limit.
+  /// Counts a dispatch to an engine that has a rate limit.
   void CountIfLimited(const Sending& aSending);
-  /// @return why an answer with this head is not one to pass on; empty when it is.
+  /// @return why an answer with these headers must not be forwarded; empty if it may be.
   std::string HeadFault(const AnswerFacts& aFacts) const;
-  /// The current engine's answer begins.
+  /// Handles the beginning of the current engine's answer.
   void TakeHead(int aStatus, const HeaderFields& aFields, const AnswerFacts& aFacts);
   void OnBody(std::string_view aBytes);
   void OnEnd(const AttemptEnd& aEnd);
   /// @param aSaidWhole see NoteRan()
   void OnWholeAnswer(bool aSaidWhole);
   void PassEvents(std::string_view aBytes);
-  /// Count what is kept of the answer until it is whole. @return whether that may be kept
+  /// Updates the count of buffered bytes. @return whether they are within the limits
   bool CountKept();
-  /// Pass events on; nothing more is read of the engine until they have gone out.
+  /// Forwards events; nothing more is read from the engine until they are written.
   void PushToCaller(const std::string& aEvents);
-  /// Count a sending's silence from now on, or no longer.
+  /// Starts or stops measuring the silence of a dispatch's engine.
   void Watch(Sending* aSending);
   void Unwatch(Sending* aSending);
 
-  // Requests under which engines end; see exchange_suspect.cpp.
-  /// @return what is known against the request, or against a part of its prompt: the longest hold,
-  /// and the highest score.
+  // Requests that may make engines exit; see exchange_suspect.cpp.
+  /// @return the suspicion against the request and the parts of its prompt: the latest end of a
+  /// quarantine, and the highest score.
   SuspectRequest Suspected() const;
-  /// @return whether the request goes to no engine now: too many have ended under it.
+  /// @return whether the request is quarantined: too many engines have exited while they ran it.
   bool IsHeldBack() const;
-  /// An engine ran the request to its end.
-  /// @param aSaidWhole the answer itself says so; where its end is that of the connection, an
-  /// engine that ended looks the same
+  /// Notes that an engine completed the request.
+  /// @param aSaidWhole the answer has an explicit end; if only the end of the connection marks it,
+  /// an engine that exited looks the same
   void NoteRan(bool aSaidWhole);
-  /// The engine writes for longer than those that the request's parts could have ended.
+  /// Clears the request's prompt parts once the engine has streamed for longer than it would if
+  /// they made it exit.
   void NoteRunsOn();
-  /// What is noted of the request if the engine of a sending has ended just now.
+  /// @return the record of the request to report if the engine of a dispatch has just exited.
   BrokenOff BrokenOffAt(const Sending& aSending) const;
-  /// A sending came to nothing: note what that says of its engine, and of the request.
+  /// A dispatch has failed: notes what that shows about its engine and about the request.
   void NoteEnd(Sending* aSending, const AttemptEnd& aEnd);
-  /// A sending's kept connection was closed without a byte of an answer.
+  /// A dispatch's pooled connection was closed without a byte of an answer.
   void NoteStale(Sending* aSending);
-  /// What another connection has shown of the engine of a stale one.
+  /// Handles the engine of a stale connection once another connection has shown its state.
   void SettleStale(const Sending& aSending, bool aReached);
-  /// An engine has started again since, so it has ended.
+  /// The engine of a dispatch has restarted since, so its former process has exited.
   void NoteRestarted(const Sending& aSending);
-  /// Stop what an engine has only begun, where the request is held back by now.
-  /// @return whether the request is over
+  /// Aborts a request that an engine has only just begun, if it is quarantined by now.
+  /// @return whether the request is finished
   bool StopIfHeldBack();
-  /// @return when the request may run again at the earliest, from now; the zero duration: now.
+  /// @return time until the request may run again; zero: it may run now.
   Duration HeldFor() const;
 
-  /// The attempt came to nothing.
+  /// The current attempt has failed.
   void OnFailure(const std::string& aWhy, bool aMayHaveRun);
-  /// The engine has failed a request that may run only once.
+  /// Notes that the engine has failed a request that must not run twice.
   void NoteFailedOnce();
   void DropAttempt();
-  /// Close a sending's connection, so that its engine stops, and give back its counts.
+  /// Closes a dispatch's connection, so that its engine stops, and releases what is counted for it.
   void Drop(Sending* aSending);
-  /// @return a replica as the plan has it now; null for none.
+  /// @return the replica in the current plan; null for none.
   const PoolReplica* ReplicaInPlan(const std::string& aGroup) const;
-  /// @return whether the replica stands still: by what it does first, then by what is said of it.
+  /// @return whether the replica has stalled. Its own events decide first, then what the plan
+  /// reports.
   bool StandsStill(const Sending& aSending) const;
-  /// @return whether the plan speaks against the replica; it may still answer.
+  /// @return whether the plan reports the replica as lost or re-formed; it may still answer.
   bool SaidToBeLost(const Sending& aSending) const;
-  /// @return whether it was sent over an own connection that is silent, and the path to the engine
-  /// is known to be at fault.
+  /// @return whether the dispatch uses a direct connection that is silent while the network path to
+  /// its engine is known to be faulty.
   bool IsCutOff(const Sending& aSending) const;
-  /// @return whether another engine is to be asked for what this one was sent.
+  /// @return whether the request should be sent to another engine as well.
   bool ShouldLeave(const Sending& aSending) const;
-  /// Keep the time at which the plan began to speak against a sending's replica.
+  /// Records since when the plan reports the replica of a dispatch as lost.
   void NoteLoss(Sending* aSending) const;
-  /// @return whether it stands still, is said to be lost, and has given nothing for so long since.
+  /// @return whether the replica has stalled, is reported lost, and has sent nothing for this long
+  /// since the report.
   bool IsSilentFor(const Sending& aSending, Duration aFor) const;
-  /// @return whether the second engine is let go though no end of it shows.
+  /// @return whether the hedge is to be abandoned although it has not failed.
   bool IsNextHopeless() const;
   bool IsCurrent(std::uint64_t aSerial) const
   {
@@ -263,25 +274,25 @@
   {
     return mPhase != Phase::kOver && mNext && mNext->mSerial == aSerial;
   }
-  /// @return whether the engine that works on this has started again since: no answer will come.
+  /// @return whether the dispatch's engine has restarted since, so that no answer will come.
   bool EngineRestarted(const Sending& aSending) const;
   void LogFailedAttempt(const Sending& aSending,
                         const std::string& aWhy,
                         bool aMayHaveRun,
                         const std::string& aNotAgain) const;
-  /// What is known of the replica of the present attempt, and how old the word of it is.
+  /// Adds what is known about the replica of a dispatch, and the age of that information.
   void AddReplicaFields(const Sending& aSending, std::map<std::string, std::string>* aFields) const;
-  /// Pass on the engine's own failure that was kept.
+  /// Forwards the engine's error response that was kept.
   void AnswerFallback(const std::string& aReason);
 
   void Answer(int aStatus, const std::string& aReason, const std::string& aDetail);
-  /// @return when a caller that is refused should come back.
+  /// @return the Retry-After time for a refused caller.
   Duration RetryAfter() const;
   void Refuse(const std::string& aReason);
   void RefuseHeldBack();
-  /// Break the begun answer off, so that it cannot look complete.
+  /// Aborts an answer that has begun, so that it cannot look complete.
   void Cut(const std::string& aReason);
-  /// Over(), and @return the way to the caller for the last word; null when the caller has gone.
+  /// Calls Over(). @return the caller's side for the end of the answer; null if the caller has gone
   CallerSide* Finish();
   void Over();
   void LogEnd(const char* aOutcome, const std::string& aReason) const;
@@ -296,41 +307,41 @@
   const Route* mRoute = nullptr;
   const ServiceSpec* mService = nullptr;
   std::string mCustomer;
-  RequestKey mKey;                ///< the same for all repeats of this request
-  std::vector<PromptPart> mParts; ///< that other requests may have as well
+  RequestKey mKey;                ///< the same for all repetitions of this request
+  std::vector<PromptPart> mParts; ///< prompt parts that other requests may share
   int mPriority = 0;
 
   Phase mPhase = Phase::kWaiting;
-  Sending mCurrent;             ///< whose answer the caller gets
-  std::optional<Sending> mNext; ///< asked as well, in case the current one stands still
-  std::string mNextWhy;         ///< why it was asked
+  Sending mCurrent;             ///< the dispatch whose answer the caller gets
+  std::optional<Sending> mNext; ///< the hedge, in case the current dispatch has stalled
+  std::string mNextWhy;         ///< why the hedge was sent
   std::uint64_t mLastSerial = 0;
-  std::set<std::string> mTried;     ///< engines that come into question no more
-  std::set<std::string> mUnreached; ///< second engines that took no connection; asked after others
+  std::set<std::string> mTried;     ///< engines that are no longer candidates
+  std::set<std::string> mUnreached; ///< unreachable targets of hedges; used after all others
   AskedEngines mAsked;
-  std::optional<StaleConnection> mStale; ///< the last, until it is known what became of its engine
-  bool mAvoidsKept = false;   ///< a connection was closed under it; kept ones may be dead as well
-  bool mMoving = false;       ///< asks for a place elsewhere
-  TimePoint mMoveNotBefore{}; ///< no place was found just now, or it was refused
-  int mMovesRefused = 0;      ///< times that no place was found
+  std::optional<StaleConnection> mStale; ///< the last one, until the state of its engine is known
+  bool mAvoidsKept = false;   ///< one connection was closed early; pooled ones may be dead as well
+  bool mMoving = false;       ///< a slot elsewhere is being requested
+  TimePoint mMoveNotBefore{}; ///< no earlier hedge, since no slot was found or the hedge failed
+  int mMovesRefused = 0;      ///< times that no slot was found
   std::optional<AwaitedAttempt> mAwaited;
-  int mSent = 0; ///< times
+  int mSent = 0; ///< dispatches, without repeats after a stale connection
   int mConnectFailures = 0;
-  Duration mLimitedFor{ 0 }; ///< engines with room take no more for so long
-  bool mFoundFull = false; ///< each replica had all that it should hold when a place was asked for
-  bool mBrokenOff = false; ///< an engine closed its connection in the middle of it
+  Duration mLimitedFor{ 0 }; ///< time until engines with free slots are below their rate limit
+  bool mFoundFull = false;   ///< all replicas were at capacity when a slot was requested
+  bool mBrokenOff = false;   ///< an engine closed the connection during the request
   bool mMayHaveRun = false;
 
   int mStatus = 0;
   HeaderFields mFields;
   std::string mBody;
   EventSplitter mSplitter;
-  std::size_t mKept = 0;                   ///< bytes of these two, as they are counted
-  std::optional<std::uint64_t> mLastEvent; ///< passed on to the caller, or had before
-  TimePoint mPassedAt{};                   ///< the last event was passed on
-  bool mStreamStarted = false;             ///< the caller has the head
-  bool mPushing = false;                   ///< events are on their way to the caller
-  /// An engine's own failure, kept while a second engine is asked.
+  std::size_t mKept = 0;                   ///< bytes of mBody and mSplitter, as last counted
+  std::optional<std::uint64_t> mLastEvent; ///< last event ID that the caller has
+  TimePoint mPassedAt{};                   ///< when the last event was forwarded
+  bool mStreamStarted = false;             ///< the status and headers were sent to the caller
+  bool mPushing = false;                   ///< events are being written to the caller
+  /// An engine's error response, kept while a second engine is tried.
   std::optional<CallerAnswer> mFallback;
 };
 
--- a/src/pepperbay/relay/exchange_constants.hpp
+++ b/src/pepperbay/relay/exchange_constants.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Statuses that the relay tells apart or answers with itself, and times of its streams.
+/// @brief HTTP statuses that the relay interprets or sends, and time-outs of streams.
 #pragma once
 
 #include <chrono>
@@ -7,21 +7,21 @@
 namespace pepperbay {
 
 constexpr int kOk = 200;
-constexpr int kRedirection = 300;   ///< and above: no success
-constexpr int kServerFailure = 500; ///< and above: the server's own failures
+constexpr int kRedirection = 300;   ///< this and above: not successful
+constexpr int kServerFailure = 500; ///< this and above: server failures
 constexpr int kBadGateway = 502;
 constexpr int kUnavailable = 503;
 constexpr int kGatewayTimeout = 504;
 
-/// A stream that stands at no engine is ended after this without an event: callers leave after two
-/// seconds, and can come back sooner. A second engine that is silent for so long is let go if
-/// another may be asked in its place.
+/// A stream that no engine serves is ended after this time without an event. Callers disconnect
+/// after two seconds, and can retry sooner this way. A second engine that is silent for this long
+/// is abandoned if another engine can be used instead.
 constexpr std::chrono::seconds kHopelessAfter{ 1 };
-/// An engine that is silent may go on, whatever is said of its replica, and its answer is not ended
-/// sooner than callers leave at the earliest.
+/// A silent engine may continue even if its replica is reported lost. So its answer is not ended
+/// before the earliest time at which callers disconnect.
 constexpr std::chrono::seconds kGivenUpAfter{ 2 };
-/// A stream that found no place elsewhere asks again after this: a heartbeat, in which places come
-/// free.
+/// A stream that found no slot at another replica asks again after this time: one heartbeat
+/// interval, in which slots become free.
 constexpr std::chrono::milliseconds kMoveAgainAfter{ 200 };
 
 } // namespace pepperbay
--- a/src/pepperbay/relay/exchange_ends.cpp
+++ b/src/pepperbay/relay/exchange_ends.cpp
@@ -13,11 +13,11 @@
 
 namespace {
 
-/// Connections that did not stand, after which a request is refused: they cost no engine anything,
-/// but each takes time from the caller.
+/// Failed connects after which a request is refused. They put no load on engines, but each one
+/// costs the caller time.
 constexpr int kMostConnectFailures = 3;
 
-/// Callers wait for no longer than this part of the time that they have left.
+/// Callers wait for at most this fraction (one third) of their remaining time before they retry.
 constexpr int kCallersWait = 3;
 
 std::string
@@ -38,7 +38,7 @@
     return;
   }
   if (mPhase == Phase::kOver || !mCurrent.mAttempt) {
-    return; // a place is found, or is refused, in a few tens of milliseconds
+    return; // a slot is granted or refused within some tens of milliseconds
   }
   const TimePoint now = mCore->Now();
   if (now >= mDeadlineAt) {
@@ -46,8 +46,8 @@
     return;
   }
   if (mPushing) {
-    // Nothing is read of the engine meanwhile, so its silence says nothing; and what another one
-    // wrote would come in the middle of what is on its way.
+    // Nothing is read from the engine meanwhile, so its silence proves nothing. And the output of
+    // another engine could be mixed into the events that are being written.
     return;
   }
   if (mNext && EngineRestarted(*mNext)) {
@@ -95,7 +95,8 @@
 bool
 Exchange::EngineRestarted(const Sending& aSending) const
 {
-  // An engine that loses power closes no connection; the caller would wait until its deadline.
+  // An engine that loses power closes no connection. Without this check the caller would wait until
+  // its deadline.
   const AttemptTarget& target = aSending.mTarget;
   const auto start = mCore->mPlan->mStarts.find(target.mEngine);
   return start != mCore->mPlan->mStarts.end() && target.mBorn != WallTime{} &&
@@ -181,7 +182,7 @@
 Exchange::NoteUnreached(const Sending& aSending, const std::string& aWhy)
 {
   ++mCore->mCounters.mConnectsFailed[aWhy];
-  // No engine was asked, so nothing is spent but time.
+  // No engine received the request, so the attempt does not count towards the limit.
   mSent -= aSending.mRepeats ? 0 : 1;
   mAsked.OnUnreached(aSending.mTarget.mEngine);
 }
@@ -262,16 +263,16 @@
 {
   Duration after = mCore->mOptions.mRetryAfter;
   if (mLimitedFor > Duration::zero()) {
-    after = mLimitedFor; // whoever counts has set it apart from others' returns
+    after = mLimitedFor; // the node that counts the limit has already spread the retries
   } else if (mFoundFull) {
-    // Callers who are refused in the same moment find the replicas full again if they come back in
-    // the same moment. Which one waits how long follows from the request.
+    // Callers that are refused together and return together would find the replicas full again. So
+    // each gets a jitter, derived from its request ID.
     const Duration most = std::min(mCore->mOptions.mSpreadReturns, Left() / kCallersWait - after);
     constexpr std::uint64_t kParts = 1024;
     const auto part = static_cast<Duration::rep>(Hash64(mFacts.mId) % kParts);
     after += std::max(Duration::zero(), most) * part / static_cast<Duration::rep>(kParts);
   }
-  // A request that is held back is refused at every node: coming back sooner helps nobody.
+  // A quarantined request is refused at every node, so an earlier retry is useless.
   return std::max(after, HeldFor());
 }
 
@@ -307,11 +308,11 @@
   mPhase = Phase::kOver;
   mAwaited.reset();
   if (mStale) {
-    // No other connection has shown whether its engine has ended.
+    // No other connection has shown whether this engine has exited.
     mCore->mEndings.OnBrokenOff(mStale->mTarget, mStale->mRequest);
   }
   if (mCurrent.mAttempt) {
-    // Its answer was whole; only the counts are left to settle.
+    // The answer was complete; only the counts have to be released.
     EndCounts(&mCurrent);
   }
   DropAttempt();
--- a/src/pepperbay/relay/exchange_limits.cpp
+++ b/src/pepperbay/relay/exchange_limits.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief What engines' answers say of the requests that they take in a second.
+/// @brief Rate limits that engines state in their answers.
 
 #include "exchange.hpp"
 #include "pepperbay/base/hash.hpp"
@@ -11,14 +11,14 @@
 {
   const bool foreign = !aFacts.mRequestId.empty() && aFacts.mRequestId != mFacts.mId;
   if (foreign || (!aFacts.mSealed && !aFacts.mNotRun)) {
-    return; // whose word it is cannot be told
+    return; // the sender of the answer cannot be verified
   }
   if (aFacts.mBadLimit) {
     ++mCore->mCounters.mBadLimits;
     mCore->Log("bad_engine_limit", { { "engine", aSending.mTarget.mEngine } });
   }
   if (!aFacts.mLimit && (aFacts.mBadLimit || aFacts.mNotRun)) {
-    return; // an engine that refuses may not say all; what cannot be read is not none
+    return; // no limit given: a refusal may omit it, and an unreadable limit is still a limit
   }
   const AttemptTarget& target = aSending.mTarget;
   mCore->mPlaces.OnStatement({ target.mEngine, target.mAddress, target.mDataCentre, target.mBorn },
--- a/src/pepperbay/relay/exchange_log.cpp
+++ b/src/pepperbay/relay/exchange_log.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief The lines that tell what became of a request and of its attempts.
+/// @brief Log lines about the outcome of a request and of its attempts.
 
 #include "exchange.hpp"
 
@@ -89,7 +89,7 @@
 {
   const bool good = std::string_view(aOutcome) == "answered" && mSent <= 1;
   if (good) {
-    return; // counted; a line for each would drown the others
+    return; // only counted; one line per request would hide the other lines
   }
   mCore->Log("request",
              { { "request", mFacts.mId },
--- a/src/pepperbay/relay/exchange_second.cpp
+++ b/src/pepperbay/relay/exchange_second.cpp
@@ -1,9 +1,10 @@
 /// @file
-/// @brief A second engine is asked while the first still stands: one of them answers the caller.
+/// @brief Hedged requests: a request is sent to a second engine while the first dispatch is still
+/// pending, and one of the two answers the caller.
 ///
-/// An engine that is silent, or of whose replica something is said, may go on all the same; and the
-/// second one may refuse. A request that had left its first engine by then would be lost to both.
-/// So the first is let go only when the second gives an answer, and the second when the first does.
+/// An engine that is silent, or whose replica is reported lost, may still continue, and the second
+/// engine may refuse. If the first dispatch were aborted early, both answers could be lost. So the
+/// first is aborted only when the second engine answers, and the second when the first one answers.
 
 #include "exchange.hpp"
 #include "exchange_constants.hpp"
@@ -14,9 +15,9 @@
 namespace pepperbay {
 namespace {
 
-/// A head that gave any stream an event within this moves, whatever is said of its replica: events
-/// come 50 to 80 ms apart. Members that leave stop listening long before they stop working, and a
-/// replica that is planned anew works on until its engines have joined.
+/// A head that sent an event on any stream within this time is working, whatever the plan reports:
+/// events are 50 to 80 ms apart. Members that leave stop listening long before they stop working,
+/// and a replica that is being re-formed works until its engines have joined the new one.
 constexpr std::chrono::milliseconds kMovesWithin{ 150 };
 
 } // namespace
@@ -45,7 +46,7 @@
     NoteLoss(&*mNext);
   }
   if (mNext && IsNextHopeless()) {
-    // While it is asked, no other engine is, and the first one's end is not looked at either.
+    // A pending hedge prevents further hedges and the time-out of the first dispatch.
     DropNext("replica_lost", true);
   }
   if (mNext || mMoving) {
@@ -74,8 +75,8 @@
 bool
 Exchange::MayMove() const
 {
-  // Who has refused may refuse again, and is not asked a third time: not while the first engine may
-  // only pause.
+  // An engine that refused may refuse again and does not get the request a third time. So it is not
+  // used while the first engine may only pause.
   const bool again = IsCutOff(mCurrent) || IsSilentFor(mCurrent, kHopelessAfter);
   const bool fresh = MayAskFurther() && HasTargetBeside(mTried);
   return (fresh || (again && !AskOnceMore().empty())) && HasTarget();
@@ -84,8 +85,8 @@
 bool
 Exchange::ShouldLeave(const Sending& aSending) const
 {
-  // Events of other streams say nothing of one that has not begun: a head may write what it has and
-  // begin nothing more.
+  // For a stream that has not begun, events of other streams prove nothing: a head may finish its
+  // streams and start no more.
   return !mPushing && (StandsStill(aSending) || IsCutOff(aSending) ||
                        (!aSending.mWriting && SaidToBeLost(aSending)));
 }
@@ -103,7 +104,8 @@
 bool
 Exchange::IsSilentFor(const Sending& aSending, Duration aFor) const
 {
-  // A stream may have waited at a head that was well until then.
+  // The time before the loss was reported does not count: the stream may have been queued at a head
+  // that worked until then.
   const TimePoint last = std::max(aSending.mWriting ? aSending.mLastEventAt : aSending.mSentAt,
                                   aSending.mLostSince.value_or(mCore->Now()));
   return mCore->Now() - last > aFor && SaidToBeLost(aSending) && StandsStill(aSending);
@@ -123,7 +125,7 @@
 Exchange::SaidToBeLost(const Sending& aSending) const
 {
   const PoolReplica* replica = ReplicaInPlan(aSending.mGroup);
-  // Lost, or formed anew, perhaps under another head.
+  // Lost, or re-formed, perhaps under another head.
   return replica != nullptr && (replica->mLost || replica->mEpoch > aSending.mEpoch);
 }
 
@@ -160,7 +162,8 @@
                   return;
                 }
                 if (!self->IsCurrent(serial) || !self->ShouldLeave(self->mCurrent)) {
-                  self->mCore->mPlaces.End(aPlace.mTicket); // it ended, or goes on, in the meantime
+                  self->mCore->mPlaces.End(
+                    aPlace.mTicket); // the dispatch has ended or continued in the meantime
                   return;
                 }
                 if (!self->IsUsable(aPlace)) {
@@ -226,7 +229,8 @@
     return;
   }
   if (events) {
-    // The caller has the first engine's head. Which of the two goes on shows by the next event.
+    // The caller already has the first engine's headers. The first engine to send another event
+    // wins.
     mNext->mHeadAt = mCore->Now();
     mNext->mAttempt->SetKeepAlive(facts.mKeepAlive);
     mNext->mAttempt->ReadMore();
@@ -253,7 +257,7 @@
   SettleStale(*mNext, reached);
   if (!reached) {
     NoteUnreached(*mNext, aWhy);
-    mTried.erase(mNext->mTarget.mEngine); // it may only pause
+    mTried.erase(mNext->mTarget.mEngine); // the engine may only pause
     mUnreached.insert(mNext->mTarget.mEngine);
   }
   Drop(&*mNext);
@@ -268,7 +272,8 @@
     mMayHaveRun = mMayHaveRun || mCurrent.mAttempt->MayHaveRun();
     mCore->mBalancer.OnFault(mCurrent.mTarget.mEngine, mCore->Now());
     if (!mCurrent.mAttempt->Peer().empty()) {
-      mCore->mConnector.OnPeerSilent(mCurrent.mAttempt->Peer()); // it, or the engine behind it
+      mCore->mConnector.OnPeerSilent(
+        mCurrent.mAttempt->Peer()); // the peer or the engine has stalled
     }
     LogFailedAttempt(mCurrent, mNextWhy, true, "");
   }
--- a/src/pepperbay/relay/exchange_sending.cpp
+++ b/src/pepperbay/relay/exchange_sending.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Where a request goes: an engine or a place is found, and the request is sent there.
+/// @brief Dispatch of a request: an engine or a slot is selected, and the request is sent there.
 
 #include "exchange.hpp"
 #include "hop_by_hop.hpp"
@@ -15,11 +15,11 @@
 
 namespace {
 
-/// An engine gets this much less than what is left, so that its own answer at the deadline comes
-/// back before the caller leaves.
+/// An engine's deadline is earlier than the caller's by this margin, so that its answer at the
+/// deadline arrives before the caller disconnects.
 constexpr std::chrono::milliseconds kDeadlineMargin{ 20 };
 constexpr int kLeastUrgent = 9;
-/// An engine that was heard within this is reached: its events come 50 to 80 ms apart.
+/// An engine that sent bytes within this time counts as reachable: events are 50 to 80 ms apart.
 constexpr std::chrono::milliseconds kHeardLately{ 150 };
 
 } // namespace
@@ -28,10 +28,10 @@
 Exchange::StaleEngine() const
 {
   if (!mStale || mTried.count(mStale->mTarget.mEngine) != 0) {
-    return nullptr; // the request has gone there again
+    return nullptr; // the request was already sent there again
   }
   if (mService->mPool || mCore->mPlaces.HasLimits(mService->mName)) {
-    return nullptr; // whoever finds places chooses
+    return nullptr; // the node that assigns slots selects the engine
   }
   const EngineTarget* engine = FindEngine(*mCore->mPlan, ShortId(mStale->mTarget.mEngine));
   return engine != nullptr && engine->mBorn == mStale->mTarget.mBorn ? engine : nullptr;
@@ -70,12 +70,12 @@
   PlaceRequest request;
   request.mService = mService->mName;
   request.mTried = LeftOut();
-  // What goes on, or was let down once, has waited already.
+  // A retry gets the highest urgency, since it has waited already.
   request.mClaimant = { aAgain ? 0 : std::clamp(mPriority, 0, kLeastUrgent), ShortId(mCustomer) };
   request.mAgain = aAgain;
   if (!mService->mPool) {
     request.mOnce = !mRoute->Repeatable();
-    request.mDrawn = aAgain; // see PlaceAndSend()
+    request.mDrawn = aAgain; // PlaceAndSend() has drawn on the budget
     return request;
   }
   const EnginePool& pool = *mService->mPool;
@@ -135,7 +135,7 @@
   mPhase = Phase::kPlacing;
   mCore->mRetries.Ask(mService->mName, [self = shared_from_this(), aOtherwise](bool aGranted) {
     if (self->mPhase == Phase::kOver) {
-      return; // the caller has left
+      return; // the caller has disconnected
     }
     if (!aGranted) {
       aOtherwise(ToString(PlaceOutcome::kNoBudget));
@@ -160,7 +160,7 @@
   mPhase = Phase::kPlacing;
   AskForPlace(aAgain, [self = shared_from_this(), aOtherwise](const Place& aPlace) {
     if (self->mPhase == Phase::kOver) {
-      self->mCore->mPlaces.End(aPlace.mTicket); // the caller has left
+      self->mCore->mPlaces.End(aPlace.mTicket); // the caller has disconnected
       return;
     }
     self->mFoundFull = aPlace.mOutcome == PlaceOutcome::kFull;
@@ -230,7 +230,7 @@
   std::set<std::string> all = SilentHeads();
   all.insert(barred.begin(), barred.end());
   all.insert(mUnreached.begin(), mUnreached.end());
-  return HasTargetBeside(all) ? all : barred; // one that is silent may go on
+  return HasTargetBeside(all) ? all : barred; // a silent engine may continue
 }
 
 std::set<std::string>
@@ -241,7 +241,8 @@
   if (!mService->mPool || (further && HasTargetBeside(engines))) {
     return engines;
   }
-  // A desk knows of engines to leave out, not of some that alone come into question.
+  // A slot request can exclude engines but cannot list the only permitted ones. So all other heads
+  // are excluded.
   const auto replicas = mCore->mPlan->mReplicas.find(mService->mName);
   if (!further && replicas != mCore->mPlan->mReplicas.end()) {
     for (const auto& it : replicas->second) {
@@ -340,7 +341,7 @@
     std::make_shared<Attempt>(&mCore->mConnector, &mCore->mConnections, aSending->mTarget);
   aSending->mAttempt->SetMostIdle(
     MostIdleConnections(mService->mMaxConnections, mCore->mPlan->mListedNodes));
-  // A sending that was dropped reports nothing; the serial tells apart the two that may stand.
+  // A cancelled attempt reports no events; the serial distinguishes the current one from the hedge.
   AttemptEvents events;
   events.mOnHead = [self = shared_from_this(), serial](int aStatus, const HeaderFields& aFields) {
     if (self->IsCurrent(serial)) {
@@ -351,7 +352,7 @@
   };
   events.mOnBody = [self = shared_from_this(), serial](std::string_view aBytes) {
     if (self->IsNext(serial)) {
-      self->TakeNext(); // it writes, and the first one has not since it was asked
+      self->TakeNext(); // it sends events, and the first engine has sent none since the hedge
     }
     if (self->IsCurrent(serial)) {
       self->OnBody(aBytes);
@@ -364,7 +365,8 @@
       self->OnNextEnd(aEnd);
     }
   };
-  // What has failed once may have failed by the path, which a kept connection does not show.
+  // The first attempt may have failed because of the network path, which a pooled connection does
+  // not show. So a retry uses a new connection unless the engine was reached recently.
   const bool heard =
     mCore->Now() - mCore->mConnector.HeardAt(aSending->mTarget.mEngine) < kHeardLately;
   const bool fresh = !mRoute->Repeatable() || mAvoidsKept || (mSent > 1 && !heard);
--- a/src/pepperbay/relay/exchange_suspect.cpp
+++ b/src/pepperbay/relay/exchange_suspect.cpp
@@ -1,5 +1,6 @@
 /// @file
-/// @brief Requests under which engines end: what is noted of them, and when they are held back.
+/// @brief Requests that may make engines exit: what is recorded about them, and when they are
+/// quarantined.
 
 #include "exchange.hpp"
 #include "exchange_constants.hpp"
@@ -9,8 +10,9 @@
 namespace pepperbay {
 namespace {
 
-/// An engine that a part ends does so sooner, as a rule. A sound part may be held back with the
-/// cause where nobody has seen it run yet; what goes on with it clears it.
+/// A prompt part that makes engines exit does so within this time as a rule. A harmless part that
+/// has not yet been completed may be quarantined together with the cause. A request with it that
+/// runs for longer than this is not aborted; if it continues, it clears the part.
 constexpr std::chrono::milliseconds kPartGoesOnAfter{ 300 };
 
 } // namespace
@@ -36,8 +38,8 @@
 bool
 Exchange::IsHeldBack() const
 {
-  // One that has just been broken off, and under which an engine has ended before, may have ended
-  // this one as well; that shows a moment after the second engine would have been asked.
+  // If an engine has exited during this request before and the connection was closed just now, this
+  // engine may have exited as well. That is known only after a second engine would be used.
   return HeldFor() > Duration::zero() || (mBrokenOff && Suspected().mScore > 0);
 }
 
@@ -65,7 +67,8 @@
 Exchange::BrokenOffAt(const Sending& aSending) const
 {
   const TimePoint now = mCore->Now();
-  // An engine of a pool answers once it runs a request; others answer when they are done.
+  // An engine of a pool begins its answer when it starts to run the request; other engines answer
+  // when they have finished it.
   const bool begun = aSending.mHeadAt ? now - *aSending.mHeadAt <= mCore->mOptions.mSuspectWithin
                                       : !mService->mPool.has_value();
   const Suspicion suspicion = begun ? Suspicion::kBegun : Suspicion::kPresent;
@@ -82,14 +85,14 @@
   }
   if (aEnd.mClosed) {
     mBrokenOff = true;
-    mAvoidsKept = true; // what has reset this one may have reset them
+    mAvoidsKept = true; // the same fault may have closed pooled connections
     mCore->mEndings.OnBrokenOff(aSending->mTarget, BrokenOffAt(*aSending));
   }
   if (aEnd.mBadBytes) {
     NoteFailedOnce();
   }
   if (aEnd.mGone && !aSending->mGroup.empty()) {
-    // Its registration takes seconds to lapse, and no stream of it stands still that could show it.
+    // Its registration expires only after seconds, and it has no stalled stream that could show it.
     mCore->OnHeadGone(aSending->mTarget.mEngine, aSending->mSentAt);
   }
 }
@@ -103,7 +106,7 @@
   mTried.erase(aSending->mTarget.mEngine);
   mAsked.OnNotTaken(aSending->mTarget.mEngine);
   if (Suspected().mScore > 0) {
-    mBrokenOff = true; // an engine that ends closes kept connections as well
+    mBrokenOff = true; // an exiting engine closes pooled connections as well
   }
   mStale = StaleConnection{ aSending->mTarget, BrokenOffAt(*aSending) };
 }
@@ -145,7 +148,7 @@
   const Duration most = byPart ? Duration(kPartGoesOnAfter) : mCore->mOptions.mSuspectWithin;
   const bool proven = headAt && mCore->Now() - *headAt > most;
   if (proven || mNext) {
-    return false; // it runs for longer than those that ended engines
+    return false; // it has run for longer than requests that make engines exit
   }
   mMayHaveRun = mMayHaveRun || mCurrent.mAttempt->MayHaveRun();
   LogFailedAttempt(mCurrent, "held_back", mMayHaveRun, "engines have ended under it");
--- a/src/pepperbay/relay/hop_by_hop.cpp
+++ b/src/pepperbay/relay/hop_by_hop.cpp
@@ -26,7 +26,7 @@
 void
 DropHopByHop(HeaderFields* aFields)
 {
-  // Headers that the Connection header names concern this connection only, too.
+  // Headers listed in the Connection header are hop-by-hop as well.
   std::vector<std::string> named;
   for (const auto& it : http::token_list((*aFields)[http::field::connection])) {
     named.emplace_back(it);
--- a/src/pepperbay/relay/hop_by_hop.hpp
+++ b/src/pepperbay/relay/hop_by_hop.hpp
@@ -1,12 +1,12 @@
 /// @file
-/// @brief Headers that concern one connection only and are not passed on.
+/// @brief HTTP hop-by-hop headers: they apply to one connection and are not forwarded.
 #pragma once
 
 #include "pepperbay/relay/dialect.hpp"
 
 namespace pepperbay {
 
-/// Take them out, those that the Connection header names included.
+/// Removes the hop-by-hop headers, including those that the Connection header lists.
 void
 DropHopByHop(HeaderFields* aFields);
 
--- a/src/pepperbay/relay/relay.cpp
+++ b/src/pepperbay/relay/relay.cpp
@@ -21,12 +21,12 @@
                                          asio::wait_traits<std::chrono::steady_clock>,
                                          asio::io_context::executor_type>;
 
-/// Ticks between two looks at idle connections.
+/// Ticks between two checks of idle connections.
 constexpr unsigned kSessionTicks = 10;
 
-/// A thread that does its work this much too late has none to spare for other nodes' callers.
+/// If the relay's thread lags by more than this, it has no capacity for other nodes' tunnels.
 constexpr std::chrono::milliseconds kMostLag{ 20 };
-constexpr int kLagWeight = 8; ///< ticks that the lag is averaged over
+constexpr int kLagWeight = 8; ///< weight of the moving average of the lag, in ticks
 constexpr std::chrono::seconds kLogUnreadEvery{ 1 };
 
 class RelayImpl : public Relay
@@ -54,7 +54,7 @@
     return ListenForPeers();
   }
 
-  /// Carry connections for nodes that reach no engine.
+  /// Accepts tunnels of nodes that cannot reach engines directly.
   Result<void> ListenForPeers()
   {
     if (mCore.mOptions.mTunnel.empty()) {
@@ -124,7 +124,7 @@
   }
 
 private:
-  static constexpr int kBacklog = 1024; // connections that wait to be taken up
+  static constexpr int kBacklog = 1024; // listen queue, in connections
 
   void AcceptOnceKnown()
   {
@@ -140,7 +140,7 @@
   {
     if (!mGate.Takes(mCore.mSessions.size(), mCore.Now())) {
       ++mCore.mCounters.mClosedUnread;
-      CloseNow(aSocket); // before a byte of a request is read: another node can have it
+      CloseNow(aSocket); // no byte of a request was read, so another node can take it
       return;
     }
     const auto session = std::make_shared<Session>(&mCore, std::move(aSocket));
@@ -184,7 +184,7 @@
     if (mTunnels) {
       mTunnels->Tick();
     }
-    // Copies, since an exchange that ends leaves the set.
+    // Copies, since a finished exchange removes itself from the set.
     const std::vector<std::shared_ptr<Exchange>> exchanges(mCore.mExchanges.begin(),
                                                            mCore.mExchanges.end());
     for (const auto& it : exchanges) {
@@ -203,7 +203,7 @@
     }
   }
 
-  /// One line for what was not taken up in the last second.
+  /// Logs the connections that were closed unread, at most once a second.
   void LogClosedUnread(TimePoint aNow)
   {
     const std::uint64_t n = mCore.mCounters.mClosedUnread - mLoggedUnread;
@@ -226,8 +226,8 @@
       return;
     }
     if (mListener.IsOpen()) {
-      // A balancer that has no better node would send connections until the end, and what comes
-      // late could not be answered whole before the process is killed.
+      // A load balancer without a better node would send connections until the end, and late
+      // requests could not be completed before the process is killed.
       mListener.Close();
       mCore.mTakesRequests = false;
     }
@@ -250,25 +250,25 @@
     }
   }
 
-  /// @return why this node carries nothing more for others; empty: it does.
+  /// @return why this node accepts no more tunnels of other nodes; empty: it accepts them.
   std::string WhyCarriesNothing() const
   {
     if (mCore.mStopping) {
       return "stopping";
     }
     if (mCore.mConnector.Avoids()) {
-      return "unreached"; // a second hop could go in circles
+      return "unreached"; // a second hop could form a loop
     }
     return mLag > kMostLag ? "late" : "";
   }
 
   RelayCore mCore;
   ConnectionGate mGate{ mCore.mOptions.mGate };
-  std::uint64_t mLoggedUnread = 0; ///< of mClosedUnread
+  std::uint64_t mLoggedUnread = 0; ///< part of mClosedUnread that was logged
   TimePoint mLoggedUnreadAt{};
   SilenceWatch mSilence{ &mCore };
   std::unique_ptr<TunnelServer> mTunnels;
-  Duration mLag{ 0 }; ///< how late this thread is, averaged over some ticks
+  Duration mLag{ 0 }; ///< lag of this thread, moving average
   TimePoint mTickedAt{};
   Listener mListener;
   Timer mTimer;
--- a/src/pepperbay/relay/relay_core.cpp
+++ b/src/pepperbay/relay/relay_core.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-/// A version that reaches the traffic thread later than this gets a line.
+/// A configuration version that takes longer than this to reach the traffic thread is logged.
 constexpr std::chrono::milliseconds kSlowToForce{ 250 };
 
 BalancerOptions
@@ -121,7 +121,7 @@
   }
   mPlaces.SetPlan(mPlan);
   if (mConnector.SetPeers(mPlan->mProxyPeers)) {
-    // One that stops waits until nothing is carried any more.
+    // A peer that is stopping waits until its tunnels are closed, so idle ones must not be kept.
     mConnections.ForgetCarriedBy(
       [this](const std::string& aPeer) { return !aPeer.empty() && !mConnector.IsPeer(aPeer); });
   }
@@ -303,7 +303,8 @@
         { "for_ms",
           aAvoids ? "" : std::to_string(ToMs(Now() - mConnector.AvoidsSince()).count()) } });
   if (aAvoids) {
-    // They may be cut and show nothing; a request that is sent over one would be lost.
+    // Direct connections may be cut by the partition without showing it; a request that is sent
+    // over one would be lost.
     mConnections.ForgetCarriedBy([](const std::string& aPeer) { return aPeer.empty(); });
   }
   if (mHooks.mOnReach) {
--- a/src/pepperbay/relay/relay_core.hpp
+++ b/src/pepperbay/relay/relay_core.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief What all requests of one relay share. Used by the relay's thread only.
+/// @brief State shared by all requests of one relay. Used by the relay's thread only.
 #pragma once
 
 #include "connection_pool.hpp"
@@ -26,39 +26,42 @@
   TimePoint Now() const { return mOptions.mNow(); }
   void SetPlan(std::shared_ptr<const TrafficPlan> aPlan);
   void Tune(const RelayTuning& aTuning);
-  /// Count how long a new version took to reach this thread.
+  /// Records how long a new configuration version took to reach this thread.
   void NoteConfiguration(const TrafficPlan& aPlan);
-  /// What was learnt from an engine's answers says nothing of it once it has started again.
+  /// Discards what was learnt about engines that have restarted or are no longer listed: it does
+  /// not hold for the new process.
   void ForgetReplacedStarts(const EngineStarts& aBefore, const EngineStarts& aNow);
-  /// @return what is known against a request; a score of 0 for nothing.
+  /// @return the suspicion against a request; a score of 0 means none.
   SuspectRequest SuspectOf(const RequestKey& aKey) const;
-  /// An engine ran a request to its end, so it is not the cause of any engine's end.
+  /// An engine completed a request, so the request did not cause any engine to exit.
   void OnRanWhole(const RequestKey& aKey);
-  /// The same for the parts of its prompt.
+  /// An engine completed a request with these prompt parts.
   void OnPartsRan(const std::vector<PromptPart>& aParts);
-  /// Tell whoever keeps suspects that one ran to its end, if it is one.
+  /// Reports that a request or prompt part was completed, if it is a suspect.
   void TellRan(const RequestKey& aKey);
-  /// Charge an engine's end to what it had, unless that has lately run to its end.
+  /// Counts an engine's exit against a request or prompt part that it had, unless that was
+  /// completed recently.
   void ChargeEnd(const RecentRuns& aRuns, const RequestKey& aKey, const EngineEnd& aEnd);
-  /// Clear those that have lately run to their end at this node; others have seen only the ends.
+  /// Clears the suspects that were recently completed at this node. Other nodes have seen only the
+  /// exits.
   void ClearThoseThatRan(const SuspectRequests& aSuspects);
-  /// An engine has ended while it had requests of this node.
+  /// An engine exited while it had requests of this node.
   void OnEngineEnded(const AttemptTarget& aEngine, const std::vector<BrokenOff>& aRequests);
-  /// An engine that is well broke off requests of this node: it fails them. Only that is told to
-  /// others; a path that is cut breaks off requests of all engines at once.
+  /// An engine that is alive closed the connections of requests, so it counts as failing them. Only
+  /// this case is reported: a network partition breaks connections to all engines at once.
   void OnBrokenOffAlive(const AttemptTarget& aEngine, const std::vector<BrokenOff>& aRequests);
-  /// A replica's head listens no more: have the holder ask its members.
-  /// @param aAsOf what showed it began then
+  /// A replica's head no longer listens: the coordinator is to check its members.
+  /// @param aAsOf when the attempt that showed it was started
   void OnHeadGone(const std::string& aHead, TimePoint aAsOf);
-  /// Own connections to engines are avoided from now on, or used again.
+  /// Direct connections to engines are avoided from now on, or used again.
   void OnAvoid(bool aAvoids);
-  /// A byte of the engine that a sending went to has come.
+  /// Bytes of the attempt's engine were received.
   void OnHeard(const Attempt& aAttempt);
-  /// @return engines that may be tried to see whether the path works.
+  /// @return engines that may be connected to in order to test the network path.
   std::vector<AttemptTarget> EnginesToTry() const;
-  /// An engine's limit has changed, as far as this node knows.
+  /// An engine's rate limit, as known to this node, has changed.
   void OnLimit(const LimitNews& aNews);
-  /// @return limits that engines' answers name, of their present starts.
+  /// @return the rate limits in the answers of the current engine processes.
   EngineLimits Limits() const;
   void Log(const char* aEvent, const std::map<std::string, std::string>& aFields) const;
 
@@ -70,18 +73,19 @@
   Balancer mBalancer;
   PlaceAgent mPlaces;
   StallDetector mStalls;
-  RefusalBook mGoneHeads; ///< heads that listen no more, as told to the holder
-  RetryAgent mRetries;    ///< of plain services; places are asked for by mPlaces
+  RefusalBook mGoneHeads; ///< heads that no longer listen and were reported
+  RetryAgent mRetries;    ///< retry budgets of plain services; those of pools belong to mPlaces
   ConnectionPool mConnections;
   EngineConnector mConnector;
   EndingProbe mEndings;
   RecentRuns mRuns;
-  RecentRuns mPartRuns; ///< of parts of prompts; a table of its own, since requests are many more
+  RecentRuns
+    mPartRuns; ///< prompt parts; kept apart since the more numerous requests would evict them
   RelayCounters mCounters;
   std::set<std::shared_ptr<Session>> mSessions;
   std::set<std::shared_ptr<Exchange>> mExchanges;
   bool mStopping = false;
-  bool mTakesRequests = true; ///< false late in a stop
+  bool mTakesRequests = true; ///< false late in a shutdown
 };
 
 } // namespace pepperbay
--- a/src/pepperbay/relay/session.cpp
+++ b/src/pepperbay/relay/session.cpp
@@ -21,7 +21,7 @@
 constexpr int kTooLarge = 413;
 constexpr int kHeaderTooLarge = 431;
 constexpr std::chrono::seconds kLinger{ 1 };
-/// A body may take this long after its header; the operator's limits say nothing of it.
+/// Time-out for a request's body after its headers; no setting covers it.
 constexpr std::chrono::seconds kBodyTimeout{ 10 };
 
 CallerLimits
@@ -160,7 +160,7 @@
     status = kBadRequest;
   }
   if (status == 0) {
-    Close(aError.message()); // the caller has gone
+    Close(aError.message()); // the caller has disconnected
     return;
   }
   ++mCore->mCounters.mInvalid;
@@ -191,7 +191,7 @@
                        if (Peek(self->mSocket) == PeekResult::kClosed) {
                          self->Close("closed by the caller");
                        }
-                       // Bytes are the next request, sent early; they wait their turn.
+                       // Unread bytes belong to a pipelined request, which is read later.
                      });
 }
 
@@ -241,7 +241,7 @@
   head.set(http::field::connection, mKeep ? "keep-alive" : "close");
   std::ostringstream text;
   text << head.base();
-  mOut = text.str(); // goes out with the first event
+  mOut = text.str(); // written with the first event
 }
 
 void
@@ -273,7 +273,7 @@
 Session::Break()
 {
   if (!mChunked) {
-    ResetOnClose(mSocket); // an orderly end would say that the answer is whole
+    ResetOnClose(mSocket); // without chunks, an orderly close would mark the answer as complete
   }
   Close("this node: the answer cannot be completed");
 }
@@ -365,7 +365,7 @@
 {
   const bool reading = !mIdle && !mExchange && !mLingers;
   if (!reading && !mAnswering) {
-    return; // nothing was under way, or the request has a line of its own
+    return; // nothing was in progress, or the request is logged separately
   }
   mCore->Log("connection_closed",
              { { "phase", reading ? "reading" : "answering" },
--- a/src/pepperbay/relay/session.hpp
+++ b/src/pepperbay/relay/session.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief One connection of a caller: its requests, one after the other.
+/// @brief One caller's connection, whose requests are handled one after the other.
 #pragma once
 
 #include "exchange.hpp"
@@ -18,11 +18,11 @@
   Session(RelayCore* aCore, Socket aSocket);
 
   void Start();
-  /// Do what is due by time.
+  /// Closes the connection if a time-out has passed.
   void Tick();
-  /// The node stops: close as soon as no request is in the way.
+  /// Closes the connection if it is idle. Called repeatedly while the node stops.
   void CloseWhenIdle();
-  /// @param aWhy for people: who closes, or how the connection ended
+  /// @param aWhy for the log: which side closes, or the error
   void Close(const std::string& aWhy);
 
   void SendWhole(CallerAnswer aAnswer) override;
@@ -44,13 +44,12 @@
   void WatchForClose();
   void Write(std::string aBytes, std::function<void()> aDone);
   void AfterAnswer(bool aKeep);
-  /// Let the caller read the answer before the connection goes: closing with unread bytes would
-  /// reset it and the answer be lost.
+  /// Closes the sending side and waits until the caller has closed its side. Closing a socket that
+  /// has unread bytes would reset the connection, and the caller could lose the answer.
   void LingerAndClose();
   void DrainThenClose();
   bool KeepsAlive() const;
-  /// A line for a connection that ends under a request that is half read, or an answer half
-  /// written.
+  /// Logs a connection that is closed while a request is partly read or an answer partly written.
   void LogClose(const std::string& aWhy) const;
 
   RelayCore* mCore;
@@ -61,14 +60,14 @@
   std::optional<CallerAnswer> mAnswer;
   std::string mOut;
   std::array<char, 4096> mDrain{};
-  TimePoint mArrived{}; ///< the first bytes of the request
-  TimePoint mCloseAt{}; ///< idle or half-read for too long by then
-  bool mIdle = true;    ///< no byte of a request has come
+  TimePoint mArrived{}; ///< when the first bytes of the request arrived
+  TimePoint mCloseAt{}; ///< time-out of an idle connection or an incomplete request
+  bool mIdle = true;    ///< no byte of a request has arrived
   bool mWatching = false;
   bool mAnswering = false; ///< the last bytes of an answer are being written
-  bool mLingers = false;   ///< the last answer is out; only the caller's end is awaited
+  bool mLingers = false;   ///< the last answer is written; waits for the caller to close
   bool mChunked = true;
-  bool mKeep = true; ///< the caller takes another answer on this connection
+  bool mKeep = true; ///< the connection may be used for another request
   bool mOpen = true;
 };
 
--- a/src/pepperbay/relay/silence_watch.cpp
+++ b/src/pepperbay/relay/silence_watch.cpp
@@ -26,7 +26,7 @@
       connector.Look(sending->mTarget);
     }
     if (all) {
-      return; // one path tells of all
+      return; // one path is enough to tell whether this node is partitioned
     }
   }
 }
--- a/src/pepperbay/relay/silence_watch.hpp
+++ b/src/pepperbay/relay/silence_watch.hpp
@@ -1,10 +1,10 @@
 /// @file
-/// @brief Notices engines that have fallen silent, and has the paths to them tried. Used by the
-/// relay's thread only.
+/// @brief Detects silent engines and has the network paths to them probed. Used by the relay's
+/// thread only.
 ///
-/// A partition does not show on connections that stand: they are silent like an engine that reads a
-/// prompt. So where an engine is silent for longer than it should be, or all are, a connection to
-/// it is begun, which tells.
+/// A network partition does not show on established connections: they are as silent as those to an
+/// engine that processes a prompt. So if one engine is silent for too long, or all engines are, a
+/// new connection is opened to tell the two cases apart.
 #pragma once
 
 #include "relay_core.hpp"
@@ -14,11 +14,12 @@
 class SilenceWatch
 {
 public:
-  /// Engines that write do so every 50 to 80 ms; several of them together hardly pause so long.
+  /// For all engines together. An engine writes every 50 to 80 ms while it streams, so several of
+  /// them rarely pause this long at once.
   static constexpr std::chrono::milliseconds kAllSilent{ 100 };
-  /// One that writes pauses so long when it reads several long prompts.
+  /// For an engine that streams. It pauses this long when it processes several long prompts.
   static constexpr std::chrono::milliseconds kWritingSilent{ 180 };
-  /// And one that has a prompt to read first, which hardly any takes so long for.
+  /// For an engine that has to process the prompt first; few prompts take this long.
   static constexpr std::chrono::milliseconds kReadingSilent{ 400 };
 
   explicit SilenceWatch(RelayCore* aCore)
