--- a/include/pepperbay/relay/latency.hpp
+++ b/include/pepperbay/relay/latency.hpp
@@ -32,8 +32,7 @@
     mSum += aTook;
   }
 
-  std::array<std::uint64_t, kBounds.size() + 1>
-    mCounts{}; ///< the last one counts durations above all bounds
+  std::array<std::uint64_t, kBounds.size() + 1> mCounts{}; ///< the last one: above all bounds
   Duration mSum{ 0 };
 };
 
--- a/include/pepperbay/relay/relay.hpp
+++ b/include/pepperbay/relay/relay.hpp
@@ -72,7 +72,8 @@
   /// Largest jitter added to the Retry-After of callers that are refused because all replicas are
   /// full, so that they do not all return at once.
   Duration mSpreadReturns = std::chrono::milliseconds(1200);
-  /// A request is a suspect if its engine exits within this time after it began to answer it.
+  /// An engine that exits within this time after it began to answer a request may have exited
+  /// because of that request.
   Duration mSuspectWithin = std::chrono::seconds(1);
   /// Limit on the bytes of incomplete answers and events that are buffered for all requests
   /// together. An answer that would exceed it is aborted.
--- a/src/pepperbay/relay/connecting.hpp
+++ b/src/pepperbay/relay/connecting.hpp
@@ -23,8 +23,7 @@
     kOnItsWay,
     kRefused,
     kFailed,
-    kNotTried, ///< this process lacked a resource such as descriptors; says nothing about the
-               ///< engine
+    kNotTried, ///< this process lacked descriptors or the like; proves nothing about the engine
   };
 
   void BeginDirect();
--- a/src/pepperbay/relay/engine_connector.hpp
+++ b/src/pepperbay/relay/engine_connector.hpp
@@ -186,7 +186,7 @@
   WayBook mWays;
   ProxyChoice mPeers;
   LastHeard mLastStood; ///< direct connections that were established, by engine
-  TimePoint mHeardAt{}; ///< last bytes of any engine over a direct connection
+  TimePoint mHeardAt{}; ///< last connect, or bytes of any engine, over a direct connection
   std::map<std::uint64_t, std::shared_ptr<Connecting>> mConnecting;
   std::vector<std::shared_ptr<Trial>> mTrials;
   std::unordered_map<std::string, TimePoint> mHeardOf; ///< by engine, over direct connections
--- a/src/pepperbay/relay/exchange_second.cpp
+++ b/src/pepperbay/relay/exchange_second.cpp
@@ -162,8 +162,7 @@
                   return;
                 }
                 if (!self->IsCurrent(serial) || !self->ShouldLeave(self->mCurrent)) {
-                  self->mCore->mPlaces.End(
-                    aPlace.mTicket); // the dispatch has ended or continued in the meantime
+                  self->mCore->mPlaces.End(aPlace.mTicket); // no longer needed
                   return;
                 }
                 if (!self->IsUsable(aPlace)) {
@@ -272,8 +271,7 @@
     mMayHaveRun = mMayHaveRun || mCurrent.mAttempt->MayHaveRun();
     mCore->mBalancer.OnFault(mCurrent.mTarget.mEngine, mCore->Now());
     if (!mCurrent.mAttempt->Peer().empty()) {
-      mCore->mConnector.OnPeerSilent(
-        mCurrent.mAttempt->Peer()); // the peer or the engine has stalled
+      mCore->mConnector.OnPeerSilent(mCurrent.mAttempt->Peer()); // or the engine has stalled
     }
     LogFailedAttempt(mCurrent, mNextWhy, true, "");
   }
--- a/src/pepperbay/relay/relay_core.hpp
+++ b/src/pepperbay/relay/relay_core.hpp
@@ -74,13 +74,12 @@
   PlaceAgent mPlaces;
   StallDetector mStalls;
   RefusalBook mGoneHeads; ///< heads that no longer listen and were reported
-  RetryAgent mRetries;    ///< retry budgets of plain services; those of pools belong to mPlaces
+  RetryAgent mRetries;    ///< retry budget of plain services; slots are requested through mPlaces
   ConnectionPool mConnections;
   EngineConnector mConnector;
   EndingProbe mEndings;
   RecentRuns mRuns;
-  RecentRuns
-    mPartRuns; ///< prompt parts; kept apart since the more numerous requests would evict them
+  RecentRuns mPartRuns; ///< prompt parts; in mRuns the more numerous requests would evict them
   RelayCounters mCounters;
   std::set<std::shared_ptr<Session>> mSessions;
   std::set<std::shared_ptr<Exchange>> mExchanges;
