--- a/include/pepperbay/relay/relay.hpp
+++ b/include/pepperbay/relay/relay.hpp
@@ -58,7 +58,7 @@
   Duration mConnectTimeout = std::chrono::milliseconds(120);
   /// A safe request without an answer after this share of its latency objective is also sent to a
   /// second engine.
-  double mSecondAfter = 0.55;
+  double mHedgeAfter = 0.55;
   /// Streams are moved away from a replica that has been silent for this long, whether or not its
   /// loss is confirmed. Longer than any pause that prompt processing causes.
   Duration mLeaveSilent = std::chrono::milliseconds(450);
--- a/scripts/mutants/suspects.sh
+++ b/scripts/mutants/suspects.sh
@@ -48,7 +48,7 @@
 mutant "copies that have begun go on" $relay/exchange_ends.cpp \
   's/  if \(StopIfHeldBack\(\)\) \{/  if (false) {/' relay_relay_suspects_test '*IsStopped*'
 mutant "streams that run for long are cut" $relay/exchange_suspect.cpp \
-  's/if \(proven \|\| mNext\)/if (mNext)/' relay_relay_suspects_test '*RunsForLong*'
+  's/if \(proven \|\| mHedge\)/if (mHedge)/' relay_relay_suspects_test '*RunsForLong*'
 mutant "a run to the end is not noted" $relay/relay.cpp \
   's/    mHooks.mOnRanWhole\(aKey\);/    ;/' relay_relay_suspects_test '*TimeIsOver*'
 mutant "what ran lately is suspected" $relay/relay.cpp \
--- a/src/pepperbay/relay/exchange.cpp
+++ b/src/pepperbay/relay/exchange.cpp
@@ -215,8 +215,8 @@
     mFields = aFields;
     DropHopByHop(&mFields);
   }
-  if (mNext && !events && aStatus < kServerFailure) {
-    DropNext("the first engine answers", mNext->mAttempt->MayHaveRun());
+  if (mHedge && !events && aStatus < kServerFailure) {
+    DropHedge("the first engine answers", mHedge->mAttempt->MayHaveRun());
   }
   mCurrent.mAttempt->ReadMore();
 }
@@ -272,8 +272,8 @@
     return;
   }
   const TimePoint now = mCore->Now();
-  if (mNext) {
-    DropNext("the first engine goes on", mNext->mAttempt->MayHaveRun());
+  if (mHedge) {
+    DropHedge("the first engine goes on", mHedge->mAttempt->MayHaveRun());
   }
   if (!mCurrent.mWriting) {
     mCurrent.mWriting = true;
@@ -371,13 +371,13 @@
   }
   // The engine answered with an error and the request may run again: another engine may succeed.
   const bool failed = mStatus >= kServerFailure && mRoute->Repeatable() && !mFallback;
-  if (failed && mNext) {
+  if (failed && mHedge) {
     mFallback = std::move(answer);
     Drop(&mCurrent);
-    TakeNext();
+    PromoteHedge();
     return;
   }
-  if (failed && MayAskSecond()) {
+  if (failed && MayHedge()) {
     mFallback = std::move(answer);
     DropAttempt();
     PlaceAndSend(true, [this](const std::string&) { AnswerFallback("no second engine"); });
@@ -407,9 +407,9 @@
 Exchange::DropAttempt()
 {
   Drop(&mCurrent);
-  if (mNext) {
-    Drop(&*mNext);
-    mNext.reset();
+  if (mHedge) {
+    Drop(&*mHedge);
+    mHedge.reset();
   }
 }
 
--- a/src/pepperbay/relay/exchange.hpp
+++ b/src/pepperbay/relay/exchange.hpp
@@ -153,24 +153,24 @@
   /// Notes that the connection to an engine could not be established.
   void NoteUnreached(const Sending& aSending, const std::string& aWhy);
   /// @return whether the request may be sent to another engine.
-  bool MayAskSecond() const;
+  bool MayHedge() const;
   /// Sends a hedge to a second engine if the first one has been silent for too long.
-  void AskSecondIfDue();
+  void HedgeIfDue();
   /// @return whether a stream may be moved now, if a slot is available.
-  bool MayMove() const;
+  bool MayHedgeStream() const;
   /// Requests a slot at another replica, and sends the request there as well.
-  void Move(const std::string& aWhy);
+  void HedgeStream(const std::string& aWhy);
   /// Sends a safe request to another engine of a plain service as well.
-  void AskSecondEngine();
+  void HedgeSafeRequest();
 
   // The hedge: a second dispatch while the first one is still pending.
-  void StartNext(Sending aTo, const std::string& aWhy);
-  void OnNextHead(int aStatus, const HeaderFields& aFields);
-  void OnNextEnd(const AttemptEnd& aEnd);
+  void StartHedge(Sending aTo, const std::string& aWhy);
+  void OnHedgeHead(int aStatus, const HeaderFields& aFields);
+  void OnHedgeEnd(const AttemptEnd& aEnd);
   /// The hedge has failed; the first dispatch continues.
-  void DropNext(const std::string& aWhy, bool aMayHaveRun);
+  void DropHedge(const std::string& aWhy, bool aMayHaveRun);
   /// Abandons the first dispatch and makes the hedge the current one.
-  void TakeNext();
+  void PromoteHedge();
   /// @return the state of the request for AfterFailure(). Precondition: no dispatch is pending.
   RequestProgress Progress() const;
   /// The last attempt has failed: sends the request again, waits until that is possible, or answers
@@ -265,14 +265,14 @@
   /// since the report.
   bool IsSilentFor(const Sending& aSending, Duration aFor) const;
   /// @return whether the hedge is to be abandoned although it has not failed.
-  bool IsNextHopeless() const;
+  bool IsHedgeTimedOut() const;
   bool IsCurrent(std::uint64_t aSerial) const
   {
     return mPhase != Phase::kOver && mCurrent.mAttempt && mCurrent.mSerial == aSerial;
   }
-  bool IsNext(std::uint64_t aSerial) const
+  bool IsHedge(std::uint64_t aSerial) const
   {
-    return mPhase != Phase::kOver && mNext && mNext->mSerial == aSerial;
+    return mPhase != Phase::kOver && mHedge && mHedge->mSerial == aSerial;
   }
   /// @return whether the dispatch's engine has restarted since, so that no answer will come.
   bool EngineRestarted(const Sending& aSending) const;
@@ -312,18 +312,18 @@
   int mPriority = 0;
 
   Phase mPhase = Phase::kWaiting;
-  Sending mCurrent;             ///< the dispatch whose answer the caller gets
-  std::optional<Sending> mNext; ///< the hedge, in case the current dispatch has stalled
-  std::string mNextWhy;         ///< why the hedge was sent
+  Sending mCurrent;              ///< the dispatch whose answer the caller gets
+  std::optional<Sending> mHedge; ///< the hedge, in case the current dispatch has stalled
+  std::string mHedgeReason;      ///< why the hedge was sent
   std::uint64_t mLastSerial = 0;
   std::set<std::string> mTried;     ///< engines that are no longer candidates
   std::set<std::string> mUnreached; ///< unreachable targets of hedges; used after all others
   AskedEngines mAsked;
   std::optional<StaleConnection> mStale; ///< the last one, until the state of its engine is known
-  bool mAvoidsKept = false;   ///< one connection was closed early; pooled ones may be dead as well
-  bool mMoving = false;       ///< a slot elsewhere is being requested
-  TimePoint mMoveNotBefore{}; ///< no earlier hedge, since no slot was found or the hedge failed
-  int mMovesRefused = 0;      ///< times that no slot was found
+  bool mAvoidsKept = false;    ///< one connection was closed early; pooled ones may be dead as well
+  bool mHedgePending = false;  ///< a slot elsewhere is being requested
+  TimePoint mHedgeNotBefore{}; ///< no earlier hedge, since no slot was found or the hedge failed
+  int mMovesRefused = 0;       ///< times that no slot was found
   std::optional<AwaitedAttempt> mAwaited;
   int mSent = 0; ///< dispatches, without repeats after a stale connection
   int mConnectFailures = 0;
--- a/src/pepperbay/relay/exchange_constants.hpp
+++ b/src/pepperbay/relay/exchange_constants.hpp
@@ -22,6 +22,6 @@
 constexpr std::chrono::seconds kGivenUpAfter{ 2 };
 /// A stream that found no slot at another replica asks again after this time: one heartbeat
 /// interval, in which slots become free.
-constexpr std::chrono::milliseconds kMoveAgainAfter{ 200 };
+constexpr std::chrono::milliseconds kSlotRetryDelay{ 200 };
 
 } // namespace pepperbay
--- a/src/pepperbay/relay/exchange_ends.cpp
+++ b/src/pepperbay/relay/exchange_ends.cpp
@@ -50,9 +50,9 @@
     // another engine could be mixed into the events that are being written.
     return;
   }
-  if (mNext && EngineRestarted(*mNext)) {
-    NoteRestarted(*mNext);
-    DropNext("engine_restarted", mNext->mAttempt->MayHaveRun());
+  if (mHedge && EngineRestarted(*mHedge)) {
+    NoteRestarted(*mHedge);
+    DropHedge("engine_restarted", mHedge->mAttempt->MayHaveRun());
   }
   if (StopIfHeldBack()) {
     return;
@@ -66,8 +66,8 @@
     return !aSending.mAttempt->Connected() &&
            now - aSending.mSentAt > mCore->mOptions.mConnectTimeout;
   };
-  if (mNext && unconnected(*mNext)) {
-    DropNext("connect: no answer", false);
+  if (mHedge && unconnected(*mHedge)) {
+    DropHedge("connect: no answer", false);
   }
   if (!mCurrent.mAttempt->Connected()) {
     if (unconnected(mCurrent)) {
@@ -75,7 +75,7 @@
     }
     return;
   }
-  AskSecondIfDue();
+  HedgeIfDue();
 }
 
 void
@@ -130,10 +130,10 @@
     NoteUnreached(mCurrent, aWhy);
     ++mConnectFailures;
   }
-  if (mNext) {
+  if (mHedge) {
     LogFailedAttempt(mCurrent, aWhy, aMayHaveRun, "");
     Drop(&mCurrent);
-    TakeNext();
+    PromoteHedge();
     return;
   }
   mCurrent.mFailed = true;
@@ -202,7 +202,7 @@
     case FailureStep::kWait:
       mPhase = Phase::kPlacing;
       CountRefusedMove(WhyNotAgain(aProgress));
-      mAwaited = AwaitedAttempt{ aWhy, mCore->Now() + kMoveAgainAfter };
+      mAwaited = AwaitedAttempt{ aWhy, mCore->Now() + kSlotRetryDelay };
       return;
     case FailureStep::kRefuse:
       Refuse(aWhy);
--- a/src/pepperbay/relay/exchange_log.cpp
+++ b/src/pepperbay/relay/exchange_log.cpp
@@ -46,8 +46,8 @@
   if (mMovesRefused > 0) {
     fields["moves_refused"] = std::to_string(mMovesRefused);
   }
-  if (mNext) {
-    fields["next_after_ms"] = Millis(mCore->Now() - mNext->mSentAt);
+  if (mHedge) {
+    fields["next_after_ms"] = Millis(mCore->Now() - mHedge->mSentAt);
   }
   if (aSending.mHeadAt) {
     fields["answering_ms"] = Millis(mCore->Now() - *aSending.mHeadAt);
--- a/src/pepperbay/relay/exchange_second.cpp
+++ b/src/pepperbay/relay/exchange_second.cpp
@@ -23,7 +23,7 @@
 } // namespace
 
 bool
-Exchange::MayAskSecond() const
+Exchange::MayHedge() const
 {
   return MayAskFurther() && !IsHeldBack() && HasTarget() && HasBudget();
 }
@@ -39,26 +39,26 @@
 }
 
 void
-Exchange::AskSecondIfDue()
+Exchange::HedgeIfDue()
 {
   NoteLoss(&mCurrent);
-  if (mNext) {
-    NoteLoss(&*mNext);
+  if (mHedge) {
+    NoteLoss(&*mHedge);
   }
-  if (mNext && IsNextHopeless()) {
+  if (mHedge && IsHedgeTimedOut()) {
     // A pending hedge prevents further hedges and the time-out of the first dispatch.
-    DropNext("replica_lost", true);
+    DropHedge("replica_lost", true);
   }
-  if (mNext || mMoving) {
+  if (mHedge || mHedgePending) {
     return;
   }
   const TimePoint now = mCore->Now();
   if (mRoute->mKind == RequestKind::kSafe) {
     const Duration most =
-      std::chrono::duration_cast<Duration>(mRoute->mObjective * mCore->mOptions.mSecondAfter);
+      std::chrono::duration_cast<Duration>(mRoute->mObjective * mCore->mOptions.mHedgeAfter);
     const bool slow = now - mCurrent.mSentAt > most || IsCutOff(mCurrent);
-    if (mPhase == Phase::kWaiting && slow && now >= mMoveNotBefore && MayAskSecond()) {
-      AskSecondEngine();
+    if (mPhase == Phase::kWaiting && slow && now >= mHedgeNotBefore && MayHedge()) {
+      HedgeSafeRequest();
     }
     return;
   }
@@ -67,13 +67,13 @@
   }
   if (!MayAskFurther() && IsSilentFor(mCurrent, kGivenUpAfter)) {
     OnFailure("replica_lost", true);
-  } else if (now >= mMoveNotBefore && !IsHeldBack() && MayMove()) {
-    Move("replica_lost");
+  } else if (now >= mHedgeNotBefore && !IsHeldBack() && MayHedgeStream()) {
+    HedgeStream("replica_lost");
   }
 }
 
 bool
-Exchange::MayMove() const
+Exchange::MayHedgeStream() const
 {
   // An engine that refused may refuse again and does not get the request a third time. So it is not
   // used while the first engine may only pause.
@@ -112,13 +112,13 @@
 }
 
 bool
-Exchange::IsNextHopeless() const
+Exchange::IsHedgeTimedOut() const
 {
-  if (!IsSilentFor(*mNext, kHopelessAfter)) {
+  if (!IsSilentFor(*mHedge, kHopelessAfter)) {
     return false;
   }
   const bool another = (MayAskFurther() || !AskOnceMore().empty()) && HasTarget();
-  return another || IsSilentFor(*mNext, kGivenUpAfter);
+  return another || IsSilentFor(*mHedge, kGivenUpAfter);
 }
 
 bool
@@ -150,15 +150,15 @@
 }
 
 void
-Exchange::Move(const std::string& aWhy)
+Exchange::HedgeStream(const std::string& aWhy)
 {
-  mMoving = true;
+  mHedgePending = true;
   AskForPlace(true,
               [self = shared_from_this(), serial = mCurrent.mSerial, aWhy](const Place& aPlace) {
-                self->mMoving = false;
+                self->mHedgePending = false;
                 if (aPlace.mOutcome != PlaceOutcome::kGranted) {
                   self->CountRefusedMove(ToString(aPlace.mOutcome));
-                  self->mMoveNotBefore = self->mCore->Now() + kMoveAgainAfter;
+                  self->mHedgeNotBefore = self->mCore->Now() + kSlotRetryDelay;
                   return;
                 }
                 if (!self->IsCurrent(serial) || !self->ShouldLeave(self->mCurrent)) {
@@ -168,104 +168,105 @@
                 if (!self->IsUsable(aPlace)) {
                   self->mCore->mPlaces.End(aPlace.mTicket);
                   self->CountRefusedMove(ToString(PlaceOutcome::kNoReplica));
-                  self->mMoveNotBefore = self->mCore->Now() + kMoveAgainAfter;
+                  self->mHedgeNotBefore = self->mCore->Now() + kSlotRetryDelay;
                   return;
                 }
-                self->StartNext(SendingTo(aPlace), aWhy);
+                self->StartHedge(SendingTo(aPlace), aWhy);
               });
 }
 
 void
-Exchange::AskSecondEngine()
+Exchange::HedgeSafeRequest()
 {
   if (!ChooseEngine()) {
     return;
   }
-  mMoving = true;
-  mCore->mRetries.Ask(
-    mService->mName, [self = shared_from_this(), serial = mCurrent.mSerial](bool aGranted) {
-      self->mMoving = false;
-      if (!aGranted) {
-        self->mMoveNotBefore = self->mCore->Now() + kMoveAgainAfter;
-        return;
-      }
-      const bool waits = self->IsCurrent(serial) && self->mPhase == Phase::kWaiting && !self->mNext;
-      if (auto sending = waits ? self->ChooseEngine() : std::nullopt) {
-        self->StartNext(std::move(*sending), "slow");
-      } else {
-        self->mMoveNotBefore = self->mCore->Now() + kMoveAgainAfter;
-      }
-    });
+  mHedgePending = true;
+  mCore->mRetries.Ask(mService->mName,
+                      [self = shared_from_this(), serial = mCurrent.mSerial](bool aGranted) {
+                        self->mHedgePending = false;
+                        if (!aGranted) {
+                          self->mHedgeNotBefore = self->mCore->Now() + kSlotRetryDelay;
+                          return;
+                        }
+                        const bool waits = self->IsCurrent(serial) &&
+                                           self->mPhase == Phase::kWaiting && !self->mHedge;
+                        if (auto sending = waits ? self->ChooseEngine() : std::nullopt) {
+                          self->StartHedge(std::move(*sending), "slow");
+                        } else {
+                          self->mHedgeNotBefore = self->mCore->Now() + kSlotRetryDelay;
+                        }
+                      });
 }
 
 void
-Exchange::StartNext(Sending aTo, const std::string& aWhy)
+Exchange::StartHedge(Sending aTo, const std::string& aWhy)
 {
-  mNext = std::move(aTo);
-  mNextWhy = aWhy;
-  Launch(&*mNext);
+  mHedge = std::move(aTo);
+  mHedgeReason = aWhy;
+  Launch(&*mHedge);
 }
 
 void
-Exchange::OnNextHead(int aStatus, const HeaderFields& aFields)
+Exchange::OnHedgeHead(int aStatus, const HeaderFields& aFields)
 {
-  NoteHeard(&*mNext);
-  SettleStale(*mNext, true);
+  NoteHeard(&*mHedge);
+  SettleStale(*mHedge, true);
   const AnswerFacts facts = mCore->mDialect.mReadAnswer(aStatus, aFields);
   const bool events = mRoute->mKind == RequestKind::kStream && mStreamStarted;
   std::string fault = HeadFault(facts);
   if (fault.empty() && (aStatus >= kServerFailure || (events && aStatus != kOk))) {
     fault = "the second engine failed";
   }
-  NoteHead(*mNext, facts);
+  NoteHead(*mHedge, facts);
   if (!fault.empty()) {
     if (facts.mNotRun) {
-      mAsked.OnNotTaken(mNext->mTarget.mEngine);
+      mAsked.OnNotTaken(mHedge->mTarget.mEngine);
     } else {
-      mCore->mBalancer.OnFault(mNext->mTarget.mEngine, mCore->Now());
+      mCore->mBalancer.OnFault(mHedge->mTarget.mEngine, mCore->Now());
     }
-    DropNext(fault, !facts.mNotRun);
+    DropHedge(fault, !facts.mNotRun);
     return;
   }
   if (events) {
     // The caller already has the first engine's headers. The first engine to send another event
     // wins.
-    mNext->mHeadAt = mCore->Now();
-    mNext->mAttempt->SetKeepAlive(facts.mKeepAlive);
-    mNext->mAttempt->ReadMore();
+    mHedge->mHeadAt = mCore->Now();
+    mHedge->mAttempt->SetKeepAlive(facts.mKeepAlive);
+    mHedge->mAttempt->ReadMore();
     return;
   }
-  TakeNext();
+  PromoteHedge();
   TakeHead(aStatus, aFields, facts);
 }
 
 void
-Exchange::OnNextEnd(const AttemptEnd& aEnd)
+Exchange::OnHedgeEnd(const AttemptEnd& aEnd)
 {
-  NoteEnd(&*mNext, aEnd);
-  DropNext(aEnd.mComplete ? "the second engine had no more events" : aEnd.mWhy, aEnd.mMayHaveRun);
+  NoteEnd(&*mHedge, aEnd);
+  DropHedge(aEnd.mComplete ? "the second engine had no more events" : aEnd.mWhy, aEnd.mMayHaveRun);
 }
 
 void
-Exchange::DropNext(const std::string& aWhy, bool aMayHaveRun)
+Exchange::DropHedge(const std::string& aWhy, bool aMayHaveRun)
 {
-  const bool reached = mNext->mAttempt->Connected();
-  const bool stale = mNext->mStale;
+  const bool reached = mHedge->mAttempt->Connected();
+  const bool stale = mHedge->mStale;
   mMayHaveRun = mMayHaveRun || aMayHaveRun;
-  LogFailedAttempt(*mNext, aWhy, aMayHaveRun, "");
-  SettleStale(*mNext, reached);
+  LogFailedAttempt(*mHedge, aWhy, aMayHaveRun, "");
+  SettleStale(*mHedge, reached);
   if (!reached) {
-    NoteUnreached(*mNext, aWhy);
-    mTried.erase(mNext->mTarget.mEngine); // the engine may only pause
-    mUnreached.insert(mNext->mTarget.mEngine);
+    NoteUnreached(*mHedge, aWhy);
+    mTried.erase(mHedge->mTarget.mEngine); // the engine may only pause
+    mUnreached.insert(mHedge->mTarget.mEngine);
   }
-  Drop(&*mNext);
-  mNext.reset();
-  mMoveNotBefore = mCore->Now() + (stale ? Duration::zero() : kMoveAgainAfter);
+  Drop(&*mHedge);
+  mHedge.reset();
+  mHedgeNotBefore = mCore->Now() + (stale ? Duration::zero() : kSlotRetryDelay);
 }
 
 void
-Exchange::TakeNext()
+Exchange::PromoteHedge()
 {
   if (mCurrent.mAttempt) {
     mMayHaveRun = mMayHaveRun || mCurrent.mAttempt->MayHaveRun();
@@ -273,11 +274,11 @@
     if (!mCurrent.mAttempt->Peer().empty()) {
       mCore->mConnector.OnPeerSilent(mCurrent.mAttempt->Peer()); // or the engine has stalled
     }
-    LogFailedAttempt(mCurrent, mNextWhy, true, "");
+    LogFailedAttempt(mCurrent, mHedgeReason, true, "");
   }
   Drop(&mCurrent);
-  mCurrent = std::move(*mNext);
-  mNext.reset();
+  mCurrent = std::move(*mHedge);
+  mHedge.reset();
   mBody.clear();
   mSplitter.Reset();
   mPhase = mStreamStarted ? Phase::kEvents : Phase::kWaiting;
--- a/src/pepperbay/relay/exchange_sending.cpp
+++ b/src/pepperbay/relay/exchange_sending.cpp
@@ -198,8 +198,8 @@
   if (mCurrent.mAttempt && !mCurrent.mFailed) {
     engines.erase(mCurrent.mTarget.mEngine);
   }
-  if (mNext) {
-    engines.erase(mNext->mTarget.mEngine);
+  if (mHedge) {
+    engines.erase(mHedge->mTarget.mEngine);
   }
   return engines;
 }
@@ -346,13 +346,13 @@
   events.mOnHead = [self = shared_from_this(), serial](int aStatus, const HeaderFields& aFields) {
     if (self->IsCurrent(serial)) {
       self->OnHead(aStatus, aFields);
-    } else if (self->IsNext(serial)) {
-      self->OnNextHead(aStatus, aFields);
+    } else if (self->IsHedge(serial)) {
+      self->OnHedgeHead(aStatus, aFields);
     }
   };
   events.mOnBody = [self = shared_from_this(), serial](std::string_view aBytes) {
-    if (self->IsNext(serial)) {
-      self->TakeNext(); // it sends events, and the first engine has sent none since the hedge
+    if (self->IsHedge(serial)) {
+      self->PromoteHedge(); // it sends events, and the first engine has sent none since the hedge
     }
     if (self->IsCurrent(serial)) {
       self->OnBody(aBytes);
@@ -361,8 +361,8 @@
   events.mOnEnd = [self = shared_from_this(), serial](const AttemptEnd& aEnd) {
     if (self->IsCurrent(serial)) {
       self->OnEnd(aEnd);
-    } else if (self->IsNext(serial)) {
-      self->OnNextEnd(aEnd);
+    } else if (self->IsHedge(serial)) {
+      self->OnHedgeEnd(aEnd);
     }
   };
   // The first attempt may have failed because of the network path, which a pooled connection does
--- a/src/pepperbay/relay/exchange_suspect.cpp
+++ b/src/pepperbay/relay/exchange_suspect.cpp
@@ -140,14 +140,14 @@
   if (HeldFor() == Duration::zero()) {
     return false;
   }
-  if (mNext && !mNext->mHeadAt) {
-    DropNext("held_back", mNext->mAttempt->MayHaveRun());
+  if (mHedge && !mHedge->mHeadAt) {
+    DropHedge("held_back", mHedge->mAttempt->MayHaveRun());
   }
   const auto& headAt = mCurrent.mHeadAt;
   const bool byPart = mCore->SuspectOf(mKey).mHeldUntil <= mCore->Now();
   const Duration most = byPart ? Duration(kPartGoesOnAfter) : mCore->mOptions.mSuspectWithin;
   const bool proven = headAt && mCore->Now() - *headAt > most;
-  if (proven || mNext) {
+  if (proven || mHedge) {
     return false; // it has run for longer than requests that make engines exit
   }
   mMayHaveRun = mMayHaveRun || mCurrent.mAttempt->MayHaveRun();
--- a/src/pepperbay/relay/relay_kept_test.cpp
+++ b/src/pepperbay/relay/relay_kept_test.cpp
@@ -206,7 +206,7 @@
   });
   RawEngine second(ServesOne);
   RelayOptions options;
-  options.mSecondAfter = 0.001; // of 20 s
+  options.mHedgeAfter = 0.001; // of 20 s
   Serve({ &first, &second }, options);
   const EngineTarget other = mPlan.mEngines["plain"].back();
   mPlan.mEngines["plain"].pop_back();
