--- a/src/pepperbay/relay/exchange.cpp
+++ b/src/pepperbay/relay/exchange.cpp
@@ -140,35 +140,35 @@
 }
 
 void
-Exchange::NoteHead(const Sending& aSending, const AnswerFacts& aFacts)
+Exchange::NoteHead(const EngineDispatch& aDispatch, const AnswerFacts& aFacts)
 {
-  const std::string& engine = aSending.mTarget.mEngine;
+  const std::string& engine = aDispatch.mTarget.mEngine;
   if (aFacts.mOtherEngine) {
     mCore->mBalancer.OnFault(engine, mCore->Now());
     return;
   }
-  NoteLimit(aSending, aFacts);
+  NoteLimit(aDispatch, aFacts);
   if (!mService->mPool) {
     return;
   }
   RefusalBook& refusals = mCore->mBalancer.Refusals();
   if (!aFacts.mNotRun) {
-    refusals.OnTaken(engine, aSending.mSentAt);
-  } else if (refusals.OnRefused(engine, aSending.mSentAt, mCore->Now()) &&
+    refusals.OnTaken(engine, aDispatch.mSentAt);
+  } else if (refusals.OnRefused(engine, aDispatch.mSentAt, mCore->Now()) &&
              mCore->mHooks.mOnRefused) {
     mCore->mHooks.mOnRefused(engine);
   }
 }
 
 void
-Exchange::NoteHeard(Sending* aSending)
+Exchange::NoteHeard(EngineDispatch* aDispatch)
 {
-  aSending->mHeardAt = mCore->Now();
-  mCore->OnHeard(*aSending->mAttempt);
+  aDispatch->mHeardAt = mCore->Now();
+  mCore->OnHeard(*aDispatch->mAttempt);
 }
 
-const Sending*
-Exchange::DirectSending() const
+const EngineDispatch*
+Exchange::DirectDispatch() const
 {
   const bool waits = mPhase != Phase::kOver && !mPushing && mCurrent.mAttempt &&
                      mCurrent.mAttempt->Connected() && mCurrent.mAttempt->Peer().empty();
@@ -312,18 +312,18 @@
 }
 
 void
-Exchange::Watch(Sending* aSending)
+Exchange::Watch(EngineDispatch* aDispatch)
 {
-  if (!std::exchange(aSending->mWatched, true)) {
-    mCore->mStalls.OnWriting(aSending->mTarget.mEngine, mCore->Now());
+  if (!std::exchange(aDispatch->mWatched, true)) {
+    mCore->mStalls.OnWriting(aDispatch->mTarget.mEngine, mCore->Now());
   }
 }
 
 void
-Exchange::Unwatch(Sending* aSending)
+Exchange::Unwatch(EngineDispatch* aDispatch)
 {
-  if (std::exchange(aSending->mWatched, false)) {
-    mCore->mStalls.OnDone(aSending->mTarget.mEngine);
+  if (std::exchange(aDispatch->mWatched, false)) {
+    mCore->mStalls.OnDone(aDispatch->mTarget.mEngine);
   }
 }
 
@@ -414,22 +414,22 @@
 }
 
 void
-Exchange::Drop(Sending* aSending)
+Exchange::Drop(EngineDispatch* aDispatch)
 {
-  if (!aSending->mAttempt) {
+  if (!aDispatch->mAttempt) {
     return;
   }
-  aSending->mAttempt->Cancel();
-  EndCounts(aSending);
+  aDispatch->mAttempt->Cancel();
+  EndCounts(aDispatch);
 }
 
 void
-Exchange::EndCounts(Sending* aSending)
+Exchange::EndCounts(EngineDispatch* aDispatch)
 {
-  aSending->mAttempt.reset();
-  mCore->mBalancer.OnEnd(aSending->mTarget.mEngine);
-  mCore->mPlaces.End(std::exchange(aSending->mTicket, {}));
-  Unwatch(aSending);
+  aDispatch->mAttempt.reset();
+  mCore->mBalancer.OnEnd(aDispatch->mTarget.mEngine);
+  mCore->mPlaces.End(std::exchange(aDispatch->mTicket, {}));
+  Unwatch(aDispatch);
 }
 
 } // namespace pepperbay
--- a/src/pepperbay/relay/exchange.hpp
+++ b/src/pepperbay/relay/exchange.hpp
@@ -35,7 +35,7 @@
 };
 
 /// One dispatch of a request to one engine.
-struct Sending
+struct EngineDispatch
 {
   std::uint64_t mSerial = 0; ///< unique in the exchange; identifies events of abandoned dispatches
   std::shared_ptr<Attempt> mAttempt;
@@ -91,7 +91,7 @@
   /// Aborts the request because the process is about to exit.
   void GiveUp();
   /// @return the dispatch whose answer is awaited over a direct connection; null for none.
-  const Sending* DirectSending() const;
+  const EngineDispatch* DirectDispatch() const;
 
 private:
   enum class Phase
@@ -118,9 +118,9 @@
   /// Requests a slot in a pool. If the pool's share of the retry budget is used up, the retry is
   /// requested from the node that holds the rest of the budget.
   void AskForPlace(bool aAgain, PlaceAgent::Done aDone);
-  static Sending SendingTo(const Place& aPlace);
+  static EngineDispatch DispatchTo(const Place& aPlace);
   /// @return a dispatch to an engine of a plain service; none if no engine is available.
-  std::optional<Sending> ChooseEngine() const;
+  std::optional<EngineDispatch> ChooseEngine() const;
   /// @return the engine of the stale connection, as listed in the plan, until the request is sent
   /// to it again; null for none.
   const EngineTarget* StaleEngine() const;
@@ -145,13 +145,13 @@
   /// @return whether the retry budget allows another attempt.
   bool HasBudget() const;
   /// Sends the request to an engine. Precondition: no other dispatch is pending.
-  void SendToEngine(Sending aTo);
+  void SendToEngine(EngineDispatch aTo);
   /// Starts a dispatch and counts it. Its events go to the handlers of the current dispatch or of
   /// the hedge.
-  void Launch(Sending* aSending);
+  void Launch(EngineDispatch* aDispatch);
   void OnDeadline();
   /// Notes that the connection to an engine could not be established.
-  void NoteUnreached(const Sending& aSending, const std::string& aWhy);
+  void NoteUnreached(const EngineDispatch& aDispatch, const std::string& aWhy);
   /// @return whether the request may be sent to another engine.
   bool MayHedge() const;
   /// Sends a hedge to a second engine if the first one has been silent for too long.
@@ -164,7 +164,7 @@
   void HedgeSafeRequest();
 
   // The hedge: a second dispatch while the first one is still pending.
-  void StartHedge(Sending aTo, const std::string& aWhy);
+  void StartHedge(EngineDispatch aTo, const std::string& aWhy);
   void OnHedgeHead(int aStatus, const HeaderFields& aFields);
   void OnHedgeEnd(const AttemptEnd& aEnd);
   /// The hedge has failed; the first dispatch continues.
@@ -181,19 +181,19 @@
   /// Retries a request that no engine could take, once that is due.
   void TickAwaited();
   /// Releases the resources that are counted for a finished dispatch.
-  void EndCounts(Sending* aSending);
+  void EndCounts(EngineDispatch* aDispatch);
   UpstreamRequest MakeUpstreamRequest(const AttemptTarget& aTarget) const;
   Duration Left() const { return mDeadlineAt - mCore->Now(); }
 
   void OnHead(int aStatus, const HeaderFields& aFields);
   /// Notes that bytes of the engine were received.
-  void NoteHeard(Sending* aSending);
+  void NoteHeard(EngineDispatch* aDispatch);
   /// Notes what the headers of an answer show about the engine.
-  void NoteHead(const Sending& aSending, const AnswerFacts& aFacts);
+  void NoteHead(const EngineDispatch& aDispatch, const AnswerFacts& aFacts);
   /// Notes the rate limit in the headers of an answer.
-  void NoteLimit(const Sending& aSending, const AnswerFacts& aFacts);
+  void NoteLimit(const EngineDispatch& aDispatch, const AnswerFacts& aFacts);
   /// Counts a dispatch to an engine that has a rate limit.
-  void CountIfLimited(const Sending& aSending);
+  void CountIfLimited(const EngineDispatch& aDispatch);
   /// @return why an answer with these headers must not be forwarded; empty if it may be.
   std::string HeadFault(const AnswerFacts& aFacts) const;
   /// Handles the beginning of the current engine's answer.
@@ -208,8 +208,8 @@
   /// Forwards events; nothing more is read from the engine until they are written.
   void PushToCaller(const std::string& aEvents);
   /// Starts or stops measuring the silence of a dispatch's engine.
-  void Watch(Sending* aSending);
-  void Unwatch(Sending* aSending);
+  void Watch(EngineDispatch* aDispatch);
+  void Unwatch(EngineDispatch* aDispatch);
 
   // Requests that may make engines exit; see exchange_suspect.cpp.
   /// @return the suspicion against the request and the parts of its prompt: the latest end of a
@@ -225,15 +225,15 @@
   /// they made it exit.
   void NoteRunsOn();
   /// @return the record of the request to report if the engine of a dispatch has just exited.
-  BrokenOff BrokenOffAt(const Sending& aSending) const;
+  BrokenOff BrokenOffAt(const EngineDispatch& aDispatch) const;
   /// A dispatch has failed: notes what that shows about its engine and about the request.
-  void NoteEnd(Sending* aSending, const AttemptEnd& aEnd);
+  void NoteEnd(EngineDispatch* aDispatch, const AttemptEnd& aEnd);
   /// A dispatch's pooled connection was closed without a byte of an answer.
-  void NoteStale(Sending* aSending);
+  void NoteStale(EngineDispatch* aDispatch);
   /// Handles the engine of a stale connection once another connection has shown its state.
-  void SettleStale(const Sending& aSending, bool aReached);
+  void SettleStale(const EngineDispatch& aDispatch, bool aReached);
   /// The engine of a dispatch has restarted since, so its former process has exited.
-  void NoteRestarted(const Sending& aSending);
+  void NoteRestarted(const EngineDispatch& aDispatch);
   /// Aborts a request that an engine has only just begun, if it is quarantined by now.
   /// @return whether the request is finished
   bool StopIfHeldBack();
@@ -246,24 +246,24 @@
   void NoteFailedOnce();
   void DropAttempt();
   /// Closes a dispatch's connection, so that its engine stops, and releases what is counted for it.
-  void Drop(Sending* aSending);
+  void Drop(EngineDispatch* aDispatch);
   /// @return the replica in the current plan; null for none.
   const PoolReplica* ReplicaInPlan(const std::string& aGroup) const;
   /// @return whether the replica has stalled. Its own events decide first, then what the plan
   /// reports.
-  bool StandsStill(const Sending& aSending) const;
+  bool StandsStill(const EngineDispatch& aDispatch) const;
   /// @return whether the plan reports the replica as lost or re-formed; it may still answer.
-  bool SaidToBeLost(const Sending& aSending) const;
+  bool SaidToBeLost(const EngineDispatch& aDispatch) const;
   /// @return whether the dispatch uses a direct connection that is silent while the network path to
   /// its engine is known to be faulty.
-  bool IsCutOff(const Sending& aSending) const;
+  bool IsCutOff(const EngineDispatch& aDispatch) const;
   /// @return whether the request should be sent to another engine as well.
-  bool ShouldLeave(const Sending& aSending) const;
+  bool ShouldLeave(const EngineDispatch& aDispatch) const;
   /// Records since when the plan reports the replica of a dispatch as lost.
-  void NoteLoss(Sending* aSending) const;
+  void NoteLoss(EngineDispatch* aDispatch) const;
   /// @return whether the replica has stalled, is reported lost, and has sent nothing for this long
   /// since the report.
-  bool IsSilentFor(const Sending& aSending, Duration aFor) const;
+  bool IsSilentFor(const EngineDispatch& aDispatch, Duration aFor) const;
   /// @return whether the hedge is to be abandoned although it has not failed.
   bool IsHedgeTimedOut() const;
   bool IsCurrent(std::uint64_t aSerial) const
@@ -275,13 +275,14 @@
     return mPhase != Phase::kOver && mHedge && mHedge->mSerial == aSerial;
   }
   /// @return whether the dispatch's engine has restarted since, so that no answer will come.
-  bool EngineRestarted(const Sending& aSending) const;
-  void LogFailedAttempt(const Sending& aSending,
+  bool EngineRestarted(const EngineDispatch& aDispatch) const;
+  void LogFailedAttempt(const EngineDispatch& aDispatch,
                         const std::string& aWhy,
                         bool aMayHaveRun,
                         const std::string& aNotAgain) const;
   /// Adds what is known about the replica of a dispatch, and the age of that information.
-  void AddReplicaFields(const Sending& aSending, std::map<std::string, std::string>* aFields) const;
+  void AddReplicaFields(const EngineDispatch& aDispatch,
+                        std::map<std::string, std::string>* aFields) const;
   /// Forwards the engine's error response that was kept.
   void AnswerFallback(const std::string& aReason);
 
@@ -312,9 +313,9 @@
   int mPriority = 0;
 
   Phase mPhase = Phase::kWaiting;
-  Sending mCurrent;              ///< the dispatch whose answer the caller gets
-  std::optional<Sending> mHedge; ///< the hedge, in case the current dispatch has stalled
-  std::string mHedgeReason;      ///< why the hedge was sent
+  EngineDispatch mCurrent;              ///< the dispatch whose answer the caller gets
+  std::optional<EngineDispatch> mHedge; ///< the hedge, in case the current dispatch has stalled
+  std::string mHedgeReason;             ///< why the hedge was sent
   std::uint64_t mLastSerial = 0;
   std::set<std::string> mTried;     ///< engines that are no longer candidates
   std::set<std::string> mUnreached; ///< unreachable targets of hedges; used after all others
--- a/src/pepperbay/relay/exchange_ends.cpp
+++ b/src/pepperbay/relay/exchange_ends.cpp
@@ -62,9 +62,9 @@
     OnFailure("engine_restarted", mCurrent.mAttempt->MayHaveRun());
     return;
   }
-  const auto unconnected = [&](const Sending& aSending) {
-    return !aSending.mAttempt->Connected() &&
-           now - aSending.mSentAt > mCore->mOptions.mConnectTimeout;
+  const auto unconnected = [&](const EngineDispatch& aDispatch) {
+    return !aDispatch.mAttempt->Connected() &&
+           now - aDispatch.mSentAt > mCore->mOptions.mConnectTimeout;
   };
   if (mHedge && unconnected(*mHedge)) {
     DropHedge("connect: no answer", false);
@@ -93,11 +93,11 @@
 }
 
 bool
-Exchange::EngineRestarted(const Sending& aSending) const
+Exchange::EngineRestarted(const EngineDispatch& aDispatch) const
 {
   // An engine that loses power closes no connection. Without this check the caller would wait until
   // its deadline.
-  const AttemptTarget& target = aSending.mTarget;
+  const AttemptTarget& target = aDispatch.mTarget;
   const auto start = mCore->mPlan->mStarts.find(target.mEngine);
   return start != mCore->mPlan->mStarts.end() && target.mBorn != WallTime{} &&
          start->second > target.mBorn;
@@ -179,12 +179,12 @@
 }
 
 void
-Exchange::NoteUnreached(const Sending& aSending, const std::string& aWhy)
+Exchange::NoteUnreached(const EngineDispatch& aDispatch, const std::string& aWhy)
 {
   ++mCore->mCounters.mConnectsFailed[aWhy];
   // No engine received the request, so the attempt does not count towards the limit.
-  mSent -= aSending.mRepeats ? 0 : 1;
-  mAsked.OnUnreached(aSending.mTarget.mEngine);
+  mSent -= aDispatch.mRepeats ? 0 : 1;
+  mAsked.OnUnreached(aDispatch.mTarget.mEngine);
 }
 
 void
--- a/src/pepperbay/relay/exchange_limits.cpp
+++ b/src/pepperbay/relay/exchange_limits.cpp
@@ -7,7 +7,7 @@
 namespace pepperbay {
 
 void
-Exchange::NoteLimit(const Sending& aSending, const AnswerFacts& aFacts)
+Exchange::NoteLimit(const EngineDispatch& aDispatch, const AnswerFacts& aFacts)
 {
   const bool foreign = !aFacts.mRequestId.empty() && aFacts.mRequestId != mFacts.mId;
   if (foreign || (!aFacts.mSealed && !aFacts.mNotRun)) {
@@ -15,26 +15,26 @@
   }
   if (aFacts.mBadLimit) {
     ++mCore->mCounters.mBadLimits;
-    mCore->Log("bad_engine_limit", { { "engine", aSending.mTarget.mEngine } });
+    mCore->Log("bad_engine_limit", { { "engine", aDispatch.mTarget.mEngine } });
   }
   if (!aFacts.mLimit && (aFacts.mBadLimit || aFacts.mNotRun)) {
     return; // no limit given: a refusal may omit it, and an unreadable limit is still a limit
   }
-  const AttemptTarget& target = aSending.mTarget;
+  const AttemptTarget& target = aDispatch.mTarget;
   mCore->mPlaces.OnStatement({ target.mEngine, target.mAddress, target.mDataCentre, target.mBorn },
-                             aSending.mRate,
-                             { target.mBorn, aFacts.mLimit, aSending.mSentAt, mCore->Now() });
+                             aDispatch.mRate,
+                             { target.mBorn, aFacts.mLimit, aDispatch.mSentAt, mCore->Now() });
 }
 
 void
-Exchange::CountIfLimited(const Sending& aSending)
+Exchange::CountIfLimited(const EngineDispatch& aDispatch)
 {
-  const AttemptTarget& target = aSending.mTarget;
+  const AttemptTarget& target = aDispatch.mTarget;
   if (!mCore->mBalancer.Limits().LimitOf(ShortId(target.mEngine), target.mBorn)) {
     return;
   }
   std::string how = mSent == 0 ? "first" : mStreamStarted ? "resumed" : "second";
-  how += aSending.mTicket.mDesk.empty() ? "_alone" : "_by_desk";
+  how += aDispatch.mTicket.mDesk.empty() ? "_alone" : "_by_desk";
   ++mCore->mCounters.mSentToLimited[how];
 }
 
--- a/src/pepperbay/relay/exchange_log.cpp
+++ b/src/pepperbay/relay/exchange_log.cpp
@@ -24,7 +24,7 @@
 } // namespace
 
 void
-Exchange::LogFailedAttempt(const Sending& aSending,
+Exchange::LogFailedAttempt(const EngineDispatch& aDispatch,
                            const std::string& aWhy,
                            bool aMayHaveRun,
                            const std::string& aNotAgain) const
@@ -33,14 +33,14 @@
     { "request", mFacts.mId },
     { "key", ToString(mKey) },
     { "parts", ToString(mParts) },
-    { "engine", aSending.mTarget.mEngine },
-    { "by_peer", aSending.mAttempt ? aSending.mAttempt->Peer() : "" },
+    { "engine", aDispatch.mTarget.mEngine },
+    { "by_peer", aDispatch.mAttempt ? aDispatch.mAttempt->Peer() : "" },
     { "reason", aWhy },
-    { "after_ms", Millis(mCore->Now() - aSending.mSentAt) },
+    { "after_ms", Millis(mCore->Now() - aDispatch.mSentAt) },
     { "may_have_run", YesNo(aMayHaveRun) },
     { "last_event", mLastEvent ? std::to_string(*mLastEvent) : "" },
     { "not_again", aNotAgain },
-    { "stale", YesNo(aSending.mStale) },
+    { "stale", YesNo(aDispatch.mStale) },
     { "sent", std::to_string(mSent) },
   };
   if (mMovesRefused > 0) {
@@ -49,31 +49,31 @@
   if (mHedge) {
     fields["next_after_ms"] = Millis(mCore->Now() - mHedge->mSentAt);
   }
-  if (aSending.mHeadAt) {
-    fields["answering_ms"] = Millis(mCore->Now() - *aSending.mHeadAt);
+  if (aDispatch.mHeadAt) {
+    fields["answering_ms"] = Millis(mCore->Now() - *aDispatch.mHeadAt);
   }
   if (mService->mPool) {
-    AddReplicaFields(aSending, &fields);
+    AddReplicaFields(aDispatch, &fields);
   }
   mCore->Log("attempt_failed", fields);
 }
 
 void
-Exchange::AddReplicaFields(const Sending& aSending,
+Exchange::AddReplicaFields(const EngineDispatch& aDispatch,
                            std::map<std::string, std::string>* aFields) const
 {
   const TimePoint now = mCore->Now();
   const TrafficPlan& plan = *mCore->mPlan;
   auto& fields = *aFields;
-  fields["group"] = aSending.mGroup;
-  fields["epoch"] = std::to_string(aSending.mEpoch);
-  fields["desk"] = aSending.mTicket.mDesk;
-  fields["in_flight"] = std::to_string(mCore->mBalancer.InFlight(plan, aSending.mTarget.mEngine));
-  fields["head_silent_ms"] = Millis(mCore->mStalls.Silence(aSending.mTarget.mEngine, now));
-  if (aSending.mWriting) {
-    fields["event_age_ms"] = Millis(now - aSending.mLastEventAt);
+  fields["group"] = aDispatch.mGroup;
+  fields["epoch"] = std::to_string(aDispatch.mEpoch);
+  fields["desk"] = aDispatch.mTicket.mDesk;
+  fields["in_flight"] = std::to_string(mCore->mBalancer.InFlight(plan, aDispatch.mTarget.mEngine));
+  fields["head_silent_ms"] = Millis(mCore->mStalls.Silence(aDispatch.mTarget.mEngine, now));
+  if (aDispatch.mWriting) {
+    fields["event_age_ms"] = Millis(now - aDispatch.mLastEventAt);
   }
-  if (const PoolReplica* replica = ReplicaInPlan(aSending.mGroup)) {
+  if (const PoolReplica* replica = ReplicaInPlan(aDispatch.mGroup)) {
     fields["plan_epoch"] = std::to_string(replica->mEpoch);
     fields["plan_open"] = YesNo(!replica->mSuspended);
     fields["plan_lost"] = YesNo(replica->mLost);
--- a/src/pepperbay/relay/exchange_second.cpp
+++ b/src/pepperbay/relay/exchange_second.cpp
@@ -29,12 +29,12 @@
 }
 
 void
-Exchange::NoteLoss(Sending* aSending) const
+Exchange::NoteLoss(EngineDispatch* aDispatch) const
 {
-  if (!SaidToBeLost(*aSending)) {
-    aSending->mLostSince.reset();
-  } else if (!aSending->mLostSince) {
-    aSending->mLostSince = mCore->Now();
+  if (!SaidToBeLost(*aDispatch)) {
+    aDispatch->mLostSince.reset();
+  } else if (!aDispatch->mLostSince) {
+    aDispatch->mLostSince = mCore->Now();
   }
 }
 
@@ -83,32 +83,32 @@
 }
 
 bool
-Exchange::ShouldLeave(const Sending& aSending) const
+Exchange::ShouldLeave(const EngineDispatch& aDispatch) const
 {
   // For a stream that has not begun, events of other streams prove nothing: a head may finish its
   // streams and start no more.
-  return !mPushing && (StandsStill(aSending) || IsCutOff(aSending) ||
-                       (!aSending.mWriting && SaidToBeLost(aSending)));
+  return !mPushing && (StandsStill(aDispatch) || IsCutOff(aDispatch) ||
+                       (!aDispatch.mWriting && SaidToBeLost(aDispatch)));
 }
 
 bool
-Exchange::IsCutOff(const Sending& aSending) const
+Exchange::IsCutOff(const EngineDispatch& aDispatch) const
 {
   const EngineConnector& connector = mCore->mConnector;
-  const Attempt& attempt = *aSending.mAttempt;
-  const TimePoint last = std::max(aSending.mSentAt, aSending.mHeardAt);
-  return connector.WayTo(aSending.mTarget.mEngine) == Way::kPeer && attempt.Connected() &&
+  const Attempt& attempt = *aDispatch.mAttempt;
+  const TimePoint last = std::max(aDispatch.mSentAt, aDispatch.mHeardAt);
+  return connector.WayTo(aDispatch.mTarget.mEngine) == Way::kPeer && attempt.Connected() &&
          attempt.Peer().empty() && mCore->Now() - last > kMovesWithin;
 }
 
 bool
-Exchange::IsSilentFor(const Sending& aSending, Duration aFor) const
+Exchange::IsSilentFor(const EngineDispatch& aDispatch, Duration aFor) const
 {
   // The time before the loss was reported does not count: the stream may have been queued at a head
   // that worked until then.
-  const TimePoint last = std::max(aSending.mWriting ? aSending.mLastEventAt : aSending.mSentAt,
-                                  aSending.mLostSince.value_or(mCore->Now()));
-  return mCore->Now() - last > aFor && SaidToBeLost(aSending) && StandsStill(aSending);
+  const TimePoint last = std::max(aDispatch.mWriting ? aDispatch.mLastEventAt : aDispatch.mSentAt,
+                                  aDispatch.mLostSince.value_or(mCore->Now()));
+  return mCore->Now() - last > aFor && SaidToBeLost(aDispatch) && StandsStill(aDispatch);
 }
 
 bool
@@ -122,24 +122,24 @@
 }
 
 bool
-Exchange::SaidToBeLost(const Sending& aSending) const
+Exchange::SaidToBeLost(const EngineDispatch& aDispatch) const
 {
-  const PoolReplica* replica = ReplicaInPlan(aSending.mGroup);
+  const PoolReplica* replica = ReplicaInPlan(aDispatch.mGroup);
   // Lost, or re-formed, perhaps under another head.
-  return replica != nullptr && (replica->mLost || replica->mEpoch > aSending.mEpoch);
+  return replica != nullptr && (replica->mLost || replica->mEpoch > aDispatch.mEpoch);
 }
 
 bool
-Exchange::StandsStill(const Sending& aSending) const
+Exchange::StandsStill(const EngineDispatch& aDispatch) const
 {
-  const Duration silence = mCore->mStalls.Silence(aSending.mTarget.mEngine, mCore->Now());
+  const Duration silence = mCore->mStalls.Silence(aDispatch.mTarget.mEngine, mCore->Now());
   if (silence > mCore->mOptions.mLeaveSilent) {
     return true;
   }
-  if (mCore->mStalls.Watches(aSending.mTarget.mEngine) && silence <= kMovesWithin) {
+  if (mCore->mStalls.Watches(aDispatch.mTarget.mEngine) && silence <= kMovesWithin) {
     return false;
   }
-  return SaidToBeLost(aSending);
+  return SaidToBeLost(aDispatch);
 }
 
 void
@@ -171,7 +171,7 @@
                   self->mHedgeNotBefore = self->mCore->Now() + kSlotRetryDelay;
                   return;
                 }
-                self->StartHedge(SendingTo(aPlace), aWhy);
+                self->StartHedge(DispatchTo(aPlace), aWhy);
               });
 }
 
@@ -191,8 +191,8 @@
                         }
                         const bool waits = self->IsCurrent(serial) &&
                                            self->mPhase == Phase::kWaiting && !self->mHedge;
-                        if (auto sending = waits ? self->ChooseEngine() : std::nullopt) {
-                          self->StartHedge(std::move(*sending), "slow");
+                        if (auto dispatch = waits ? self->ChooseEngine() : std::nullopt) {
+                          self->StartHedge(std::move(*dispatch), "slow");
                         } else {
                           self->mHedgeNotBefore = self->mCore->Now() + kSlotRetryDelay;
                         }
@@ -200,7 +200,7 @@
 }
 
 void
-Exchange::StartHedge(Sending aTo, const std::string& aWhy)
+Exchange::StartHedge(EngineDispatch aTo, const std::string& aWhy)
 {
   mHedge = std::move(aTo);
   mHedgeReason = aWhy;
--- a/src/pepperbay/relay/exchange_sending.cpp
+++ b/src/pepperbay/relay/exchange_sending.cpp
@@ -37,12 +37,12 @@
   return engine != nullptr && engine->mBorn == mStale->mTarget.mBorn ? engine : nullptr;
 }
 
-std::optional<Sending>
+std::optional<EngineDispatch>
 Exchange::ChooseEngine() const
 {
   const auto plan = mCore->mPlan;
   if (const EngineTarget* engine = StaleEngine()) {
-    Sending again;
+    EngineDispatch again;
     again.mTarget = { engine->mId, engine->mAddress, engine->mBorn, engine->mDataCentre };
     return again;
   }
@@ -59,9 +59,9 @@
     return std::nullopt;
   }
   const EngineTarget& engine = *choice.mEngine;
-  Sending sending;
-  sending.mTarget = { engine.mId, engine.mAddress, engine.mBorn, engine.mDataCentre };
-  return sending;
+  EngineDispatch dispatch;
+  dispatch.mTarget = { engine.mId, engine.mAddress, engine.mBorn, engine.mDataCentre };
+  return dispatch;
 }
 
 PlaceRequest
@@ -111,18 +111,18 @@
     });
 }
 
-Sending
-Exchange::SendingTo(const Place& aPlace)
+EngineDispatch
+Exchange::DispatchTo(const Place& aPlace)
 {
-  Sending sending;
-  sending.mTarget = {
+  EngineDispatch dispatch;
+  dispatch.mTarget = {
     aPlace.mHead.mId, aPlace.mHead.mAddress, aPlace.mHead.mBorn, aPlace.mHead.mDataCentre
   };
-  sending.mEpoch = aPlace.mEpoch;
-  sending.mGroup = aPlace.mGroup;
-  sending.mTicket = aPlace.mTicket;
-  sending.mRate = aPlace.mRate;
-  return sending;
+  dispatch.mEpoch = aPlace.mEpoch;
+  dispatch.mGroup = aPlace.mGroup;
+  dispatch.mTicket = aPlace.mTicket;
+  dispatch.mRate = aPlace.mRate;
+  return dispatch;
 }
 
 void
@@ -149,12 +149,12 @@
 Exchange::FindAndSend(bool aAgain, const NoPlace& aOtherwise)
 {
   if (!mService->mPool && !mCore->mPlaces.HasLimits(mService->mName)) {
-    auto sending = ChooseEngine();
-    if (!sending) {
+    auto dispatch = ChooseEngine();
+    if (!dispatch) {
       aOtherwise("no_engine");
       return;
     }
-    SendToEngine(std::move(*sending));
+    SendToEngine(std::move(*dispatch));
     return;
   }
   mPhase = Phase::kPlacing;
@@ -174,7 +174,7 @@
       aOtherwise(ToString(PlaceOutcome::kNoReplica));
       return;
     }
-    self->SendToEngine(SendingTo(aPlace));
+    self->SendToEngine(DispatchTo(aPlace));
   });
 }
 
@@ -311,7 +311,7 @@
 }
 
 void
-Exchange::SendToEngine(Sending aTo)
+Exchange::SendToEngine(EngineDispatch aTo)
 {
   mPhase = Phase::kWaiting;
   mBody.clear();
@@ -321,25 +321,25 @@
 }
 
 void
-Exchange::Launch(Sending* aSending)
+Exchange::Launch(EngineDispatch* aDispatch)
 {
   const std::uint64_t serial = ++mLastSerial;
-  aSending->mSerial = serial;
-  aSending->mSentAt = mCore->Now();
-  mTried.insert(aSending->mTarget.mEngine);
+  aDispatch->mSerial = serial;
+  aDispatch->mSentAt = mCore->Now();
+  mTried.insert(aDispatch->mTarget.mEngine);
   ++mCore->mCounters.mAttempts;
-  aSending->mRepeats = mStale && mStale->mTarget.mEngine == aSending->mTarget.mEngine;
+  aDispatch->mRepeats = mStale && mStale->mTarget.mEngine == aDispatch->mTarget.mEngine;
   if (mSent > 0) {
     ++mCore->mCounters.mSecondAttempts;
     mCore->mCounters.mResumes += mStreamStarted ? 1 : 0;
   }
-  mSent += aSending->mRepeats ? 0 : 1;
-  mAsked.OnSent(aSending->mTarget.mEngine, { aSending->mGroup, aSending->mEpoch });
-  CountIfLimited(*aSending);
-  mCore->mBalancer.OnStart(aSending->mTarget.mEngine);
-  aSending->mAttempt =
-    std::make_shared<Attempt>(&mCore->mConnector, &mCore->mConnections, aSending->mTarget);
-  aSending->mAttempt->SetMostIdle(
+  mSent += aDispatch->mRepeats ? 0 : 1;
+  mAsked.OnSent(aDispatch->mTarget.mEngine, { aDispatch->mGroup, aDispatch->mEpoch });
+  CountIfLimited(*aDispatch);
+  mCore->mBalancer.OnStart(aDispatch->mTarget.mEngine);
+  aDispatch->mAttempt =
+    std::make_shared<Attempt>(&mCore->mConnector, &mCore->mConnections, aDispatch->mTarget);
+  aDispatch->mAttempt->SetMostIdle(
     MostIdleConnections(mService->mMaxConnections, mCore->mPlan->mListedNodes));
   // A cancelled attempt reports no events; the serial distinguishes the current one from the hedge.
   AttemptEvents events;
@@ -368,9 +368,9 @@
   // The first attempt may have failed because of the network path, which a pooled connection does
   // not show. So a retry uses a new connection unless the engine was reached recently.
   const bool heard =
-    mCore->Now() - mCore->mConnector.HeardAt(aSending->mTarget.mEngine) < kHeardLately;
+    mCore->Now() - mCore->mConnector.HeardAt(aDispatch->mTarget.mEngine) < kHeardLately;
   const bool fresh = !mRoute->Repeatable() || mAvoidsKept || (mSent > 1 && !heard);
-  aSending->mAttempt->Start(MakeUpstreamRequest(aSending->mTarget), fresh, std::move(events));
+  aDispatch->mAttempt->Start(MakeUpstreamRequest(aDispatch->mTarget), fresh, std::move(events));
 }
 
 } // namespace pepperbay
--- a/src/pepperbay/relay/exchange_suspect.cpp
+++ b/src/pepperbay/relay/exchange_suspect.cpp
@@ -64,58 +64,58 @@
 }
 
 BrokenOff
-Exchange::BrokenOffAt(const Sending& aSending) const
+Exchange::BrokenOffAt(const EngineDispatch& aDispatch) const
 {
   const TimePoint now = mCore->Now();
   // An engine of a pool begins its answer when it starts to run the request; other engines answer
   // when they have finished it.
-  const bool begun = aSending.mHeadAt ? now - *aSending.mHeadAt <= mCore->mOptions.mSuspectWithin
-                                      : !mService->mPool.has_value();
+  const bool begun = aDispatch.mHeadAt ? now - *aDispatch.mHeadAt <= mCore->mOptions.mSuspectWithin
+                                       : !mService->mPool.has_value();
   const Suspicion suspicion = begun ? Suspicion::kBegun : Suspicion::kPresent;
   const bool once = !mService->mPool && !mRoute->Repeatable();
-  return { mKey, mFacts.mId, mParts, suspicion, now, !aSending.mGroup.empty(), once };
+  return { mKey, mFacts.mId, mParts, suspicion, now, !aDispatch.mGroup.empty(), once };
 }
 
 void
-Exchange::NoteEnd(Sending* aSending, const AttemptEnd& aEnd)
+Exchange::NoteEnd(EngineDispatch* aDispatch, const AttemptEnd& aEnd)
 {
   if (aEnd.mStale) {
-    NoteStale(aSending);
+    NoteStale(aDispatch);
     return;
   }
   if (aEnd.mClosed) {
     mBrokenOff = true;
     mAvoidsKept = true; // the same fault may have closed pooled connections
-    mCore->mEndings.OnBrokenOff(aSending->mTarget, BrokenOffAt(*aSending));
+    mCore->mEndings.OnBrokenOff(aDispatch->mTarget, BrokenOffAt(*aDispatch));
   }
   if (aEnd.mBadBytes) {
     NoteFailedOnce();
   }
-  if (aEnd.mGone && !aSending->mGroup.empty()) {
+  if (aEnd.mGone && !aDispatch->mGroup.empty()) {
     // Its registration expires only after seconds, and it has no stalled stream that could show it.
-    mCore->OnHeadGone(aSending->mTarget.mEngine, aSending->mSentAt);
+    mCore->OnHeadGone(aDispatch->mTarget.mEngine, aDispatch->mSentAt);
   }
 }
 
 void
-Exchange::NoteStale(Sending* aSending)
+Exchange::NoteStale(EngineDispatch* aDispatch)
 {
   ++mCore->mCounters.mStaleConnections;
-  aSending->mStale = true;
+  aDispatch->mStale = true;
   mAvoidsKept = true;
-  mTried.erase(aSending->mTarget.mEngine);
-  mAsked.OnNotTaken(aSending->mTarget.mEngine);
+  mTried.erase(aDispatch->mTarget.mEngine);
+  mAsked.OnNotTaken(aDispatch->mTarget.mEngine);
   if (Suspected().mScore > 0) {
     mBrokenOff = true; // an exiting engine closes pooled connections as well
   }
-  mStale = StaleConnection{ aSending->mTarget, BrokenOffAt(*aSending) };
+  mStale = StaleConnection{ aDispatch->mTarget, BrokenOffAt(*aDispatch) };
 }
 
 void
-Exchange::SettleStale(const Sending& aSending, bool aReached)
+Exchange::SettleStale(const EngineDispatch& aDispatch, bool aReached)
 {
   const bool same =
-    mStale && !aSending.mStale && mStale->mTarget.mEngine == aSending.mTarget.mEngine;
+    mStale && !aDispatch.mStale && mStale->mTarget.mEngine == aDispatch.mTarget.mEngine;
   if (!same) {
     return;
   }
@@ -126,11 +126,11 @@
 }
 
 void
-Exchange::NoteRestarted(const Sending& aSending)
+Exchange::NoteRestarted(const EngineDispatch& aDispatch)
 {
-  if (aSending.mAttempt->MayHaveRun()) {
+  if (aDispatch.mAttempt->MayHaveRun()) {
     mBrokenOff = true;
-    mCore->OnEngineEnded(aSending.mTarget, { BrokenOffAt(aSending) });
+    mCore->OnEngineEnded(aDispatch.mTarget, { BrokenOffAt(aDispatch) });
   }
 }
 
--- a/src/pepperbay/relay/silence_watch.cpp
+++ b/src/pepperbay/relay/silence_watch.cpp
@@ -16,14 +16,15 @@
   const TimePoint now = mCore->Now();
   const bool all = now - connector.HeardAt() >= kAllSilent;
   for (const auto& it : mCore->mExchanges) {
-    const Sending* sending = it->DirectSending();
-    if (sending == nullptr) {
+    const EngineDispatch* dispatch = it->DirectDispatch();
+    if (dispatch == nullptr) {
       continue;
     }
-    const Duration bound = all ? kAllSilent : sending->mWriting ? kWritingSilent : kReadingSilent;
-    const TimePoint last = std::max(sending->mSentAt, connector.HeardAt(sending->mTarget.mEngine));
+    const Duration bound = all ? kAllSilent : dispatch->mWriting ? kWritingSilent : kReadingSilent;
+    const TimePoint last =
+      std::max(dispatch->mSentAt, connector.HeardAt(dispatch->mTarget.mEngine));
     if (now - last >= bound) {
-      connector.Look(sending->mTarget);
+      connector.Look(dispatch->mTarget);
     }
     if (all) {
       return; // one path is enough to tell whether this node is partitioned
