--- a/bench/relay.cpp
+++ b/bench/relay.cpp
@@ -176,7 +176,7 @@
   {
     RelayOptions options;
     options.mCallers = Address();
-    options.mLeaveSilent = std::chrono::seconds(20);
+    options.mMaxSilence = std::chrono::seconds(20);
     RelayHooks hooks;
     hooks.mOnSuspect = [](const std::string&, Duration) {};
     auto relay = Relay::Open(mContext, options, PlainDialect(), std::move(hooks));
--- a/include/pepperbay/relay/relay.hpp
+++ b/include/pepperbay/relay/relay.hpp
@@ -61,7 +61,7 @@
   double mHedgeAfter = 0.55;
   /// Streams are moved away from a replica that has been silent for this long, whether or not its
   /// loss is confirmed. Longer than any pause that prompt processing causes.
-  Duration mLeaveSilent = std::chrono::milliseconds(450);
+  Duration mMaxSilence = std::chrono::milliseconds(450);
   /// A new process accepts connections once its plan is complete, which takes about 40 ms, or after
   /// this time, so that callers are refused instead of kept waiting when the store is unreachable.
   /// Until then connections wait in the listen queue. Without this wait, 162 of 330 requests per
--- a/src/pepperbay/relay/exchange.hpp
+++ b/src/pepperbay/relay/exchange.hpp
@@ -89,7 +89,7 @@
   /// Handles deadlines and other time-outs; called every tick.
   void Tick();
   /// Aborts the request because the process is about to exit.
-  void GiveUp();
+  void Abort();
   /// @return the dispatch whose answer is awaited over a direct connection; null for none.
   const EngineDispatch* DirectDispatch() const;
 
@@ -251,16 +251,16 @@
   const PoolReplica* ReplicaInPlan(const std::string& aGroup) const;
   /// @return whether the replica has stalled. Its own events decide first, then what the plan
   /// reports.
-  bool StandsStill(const EngineDispatch& aDispatch) const;
+  bool IsStalled(const EngineDispatch& aDispatch) const;
   /// @return whether the plan reports the replica as lost or re-formed; it may still answer.
-  bool SaidToBeLost(const EngineDispatch& aDispatch) const;
+  bool IsReportedLost(const EngineDispatch& aDispatch) const;
   /// @return whether the dispatch uses a direct connection that is silent while the network path to
   /// its engine is known to be faulty.
-  bool IsCutOff(const EngineDispatch& aDispatch) const;
+  bool IsPathDown(const EngineDispatch& aDispatch) const;
   /// @return whether the request should be sent to another engine as well.
-  bool ShouldLeave(const EngineDispatch& aDispatch) const;
+  bool ShouldHedgeStream(const EngineDispatch& aDispatch) const;
   /// Records since when the plan reports the replica of a dispatch as lost.
-  void NoteLoss(EngineDispatch* aDispatch) const;
+  void RecordLoss(EngineDispatch* aDispatch) const;
   /// @return whether the replica has stalled, is reported lost, and has sent nothing for this long
   /// since the report.
   bool IsSilentFor(const EngineDispatch& aDispatch, Duration aFor) const;
--- a/src/pepperbay/relay/exchange_ends.cpp
+++ b/src/pepperbay/relay/exchange_ends.cpp
@@ -159,7 +159,7 @@
   progress.mHeldBack = IsHeldBack();
   if (mService->mPool && !mFallback) {
     const TimePoint last = mStreamStarted ? mPassedAt : mArrived;
-    progress.mPatience = last + kHopelessAfter - mCore->Now();
+    progress.mPatience = last + kUnservedTimeout - mCore->Now();
   }
   return progress;
 }
@@ -323,7 +323,7 @@
 }
 
 void
-Exchange::GiveUp()
+Exchange::Abort()
 {
   if (mPhase == Phase::kOver) {
     return;
--- a/src/pepperbay/relay/exchange_second.cpp
+++ b/src/pepperbay/relay/exchange_second.cpp
@@ -18,7 +18,7 @@
 /// A head that sent an event on any stream within this time is working, whatever the plan reports:
 /// events are 50 to 80 ms apart. Members that leave stop listening long before they stop working,
 /// and a replica that is being re-formed works until its engines have joined the new one.
-constexpr std::chrono::milliseconds kMovesWithin{ 150 };
+constexpr std::chrono::milliseconds kActiveWithin{ 150 };
 
 } // namespace
 
@@ -29,9 +29,9 @@
 }
 
 void
-Exchange::NoteLoss(EngineDispatch* aDispatch) const
+Exchange::RecordLoss(EngineDispatch* aDispatch) const
 {
-  if (!SaidToBeLost(*aDispatch)) {
+  if (!IsReportedLost(*aDispatch)) {
     aDispatch->mLostSince.reset();
   } else if (!aDispatch->mLostSince) {
     aDispatch->mLostSince = mCore->Now();
@@ -41,9 +41,9 @@
 void
 Exchange::HedgeIfDue()
 {
-  NoteLoss(&mCurrent);
+  RecordLoss(&mCurrent);
   if (mHedge) {
-    NoteLoss(&*mHedge);
+    RecordLoss(&*mHedge);
   }
   if (mHedge && IsHedgeTimedOut()) {
     // A pending hedge prevents further hedges and the time-out of the first dispatch.
@@ -56,16 +56,16 @@
   if (mRoute->mKind == RequestKind::kSafe) {
     const Duration most =
       std::chrono::duration_cast<Duration>(mRoute->mObjective * mCore->mOptions.mHedgeAfter);
-    const bool slow = now - mCurrent.mSentAt > most || IsCutOff(mCurrent);
+    const bool slow = now - mCurrent.mSentAt > most || IsPathDown(mCurrent);
     if (mPhase == Phase::kWaiting && slow && now >= mHedgeNotBefore && MayHedge()) {
       HedgeSafeRequest();
     }
     return;
   }
-  if (!mRoute->Repeatable() || !mService->mPool || !ShouldLeave(mCurrent)) {
+  if (!mRoute->Repeatable() || !mService->mPool || !ShouldHedgeStream(mCurrent)) {
     return;
   }
-  if (!MayAskFurther() && IsSilentFor(mCurrent, kGivenUpAfter)) {
+  if (!MayAskFurther() && IsSilentFor(mCurrent, kSilentEngineTimeout)) {
     OnFailure("replica_lost", true);
   } else if (now >= mHedgeNotBefore && !IsHeldBack() && MayHedgeStream()) {
     HedgeStream("replica_lost");
@@ -77,28 +77,28 @@
 {
   // An engine that refused may refuse again and does not get the request a third time. So it is not
   // used while the first engine may only pause.
-  const bool again = IsCutOff(mCurrent) || IsSilentFor(mCurrent, kHopelessAfter);
+  const bool again = IsPathDown(mCurrent) || IsSilentFor(mCurrent, kUnservedTimeout);
   const bool fresh = MayAskFurther() && HasTargetBeside(mTried);
   return (fresh || (again && !AskOnceMore().empty())) && HasTarget();
 }
 
 bool
-Exchange::ShouldLeave(const EngineDispatch& aDispatch) const
+Exchange::ShouldHedgeStream(const EngineDispatch& aDispatch) const
 {
   // For a stream that has not begun, events of other streams prove nothing: a head may finish its
   // streams and start no more.
-  return !mPushing && (StandsStill(aDispatch) || IsCutOff(aDispatch) ||
-                       (!aDispatch.mWriting && SaidToBeLost(aDispatch)));
+  return !mPushing && (IsStalled(aDispatch) || IsPathDown(aDispatch) ||
+                       (!aDispatch.mWriting && IsReportedLost(aDispatch)));
 }
 
 bool
-Exchange::IsCutOff(const EngineDispatch& aDispatch) const
+Exchange::IsPathDown(const EngineDispatch& aDispatch) const
 {
   const EngineConnector& connector = mCore->mConnector;
   const Attempt& attempt = *aDispatch.mAttempt;
   const TimePoint last = std::max(aDispatch.mSentAt, aDispatch.mHeardAt);
   return connector.WayTo(aDispatch.mTarget.mEngine) == Way::kPeer && attempt.Connected() &&
-         attempt.Peer().empty() && mCore->Now() - last > kMovesWithin;
+         attempt.Peer().empty() && mCore->Now() - last > kActiveWithin;
 }
 
 bool
@@ -108,21 +108,21 @@
   // that worked until then.
   const TimePoint last = std::max(aDispatch.mWriting ? aDispatch.mLastEventAt : aDispatch.mSentAt,
                                   aDispatch.mLostSince.value_or(mCore->Now()));
-  return mCore->Now() - last > aFor && SaidToBeLost(aDispatch) && StandsStill(aDispatch);
+  return mCore->Now() - last > aFor && IsReportedLost(aDispatch) && IsStalled(aDispatch);
 }
 
 bool
 Exchange::IsHedgeTimedOut() const
 {
-  if (!IsSilentFor(*mHedge, kHopelessAfter)) {
+  if (!IsSilentFor(*mHedge, kUnservedTimeout)) {
     return false;
   }
   const bool another = (MayAskFurther() || !AskOnceMore().empty()) && HasTarget();
-  return another || IsSilentFor(*mHedge, kGivenUpAfter);
+  return another || IsSilentFor(*mHedge, kSilentEngineTimeout);
 }
 
 bool
-Exchange::SaidToBeLost(const EngineDispatch& aDispatch) const
+Exchange::IsReportedLost(const EngineDispatch& aDispatch) const
 {
   const PoolReplica* replica = ReplicaInPlan(aDispatch.mGroup);
   // Lost, or re-formed, perhaps under another head.
@@ -130,16 +130,16 @@
 }
 
 bool
-Exchange::StandsStill(const EngineDispatch& aDispatch) const
+Exchange::IsStalled(const EngineDispatch& aDispatch) const
 {
   const Duration silence = mCore->mStalls.Silence(aDispatch.mTarget.mEngine, mCore->Now());
-  if (silence > mCore->mOptions.mLeaveSilent) {
+  if (silence > mCore->mOptions.mMaxSilence) {
     return true;
   }
-  if (mCore->mStalls.Watches(aDispatch.mTarget.mEngine) && silence <= kMovesWithin) {
+  if (mCore->mStalls.Watches(aDispatch.mTarget.mEngine) && silence <= kActiveWithin) {
     return false;
   }
-  return SaidToBeLost(aDispatch);
+  return IsReportedLost(aDispatch);
 }
 
 void
@@ -161,7 +161,7 @@
                   self->mHedgeNotBefore = self->mCore->Now() + kSlotRetryDelay;
                   return;
                 }
-                if (!self->IsCurrent(serial) || !self->ShouldLeave(self->mCurrent)) {
+                if (!self->IsCurrent(serial) || !self->ShouldHedgeStream(self->mCurrent)) {
                   self->mCore->mPlaces.End(aPlace.mTicket); // no longer needed
                   return;
                 }
--- a/src/pepperbay/relay/relay.cpp
+++ b/src/pepperbay/relay/relay.cpp
@@ -241,7 +241,7 @@
       const std::vector<std::shared_ptr<Exchange>> exchanges(mCore.mExchanges.begin(),
                                                              mCore.mExchanges.end());
       for (const auto& it : exchanges) {
-        it->GiveUp();
+        it->Abort();
       }
     }
     const bool carries = mCore.mCounters.mTunnels.mOpen > 0;
--- a/src/pepperbay/relay/relay_fixture.hpp
+++ b/src/pepperbay/relay/relay_fixture.hpp
@@ -96,7 +96,7 @@
   void Serve(const std::vector<RawEngine*>& aEngines, RelayOptions aOptions = {})
   {
     aOptions.mCallers = FreeAddress();
-    aOptions.mLeaveSilent = seconds(20);
+    aOptions.mMaxSilence = seconds(20);
     mAddress = aOptions.mCallers;
     RelayHooks hooks;
     hooks.mOnSuspect = [this](const std::string&, Duration) { ++mSuspects; };
