--- a/include/pepperbay/relay/relay.hpp
+++ b/include/pepperbay/relay/relay.hpp
@@ -71,7 +71,7 @@
   Duration mRetryAfter = std::chrono::milliseconds(600);
   /// Largest jitter added to the Retry-After of callers that are refused because all replicas are
   /// full, so that they do not all return at once.
-  Duration mSpreadReturns = std::chrono::milliseconds(1200);
+  Duration mRetryJitter = std::chrono::milliseconds(1200);
   /// An engine that exits within this time after it began to answer a request may have exited
   /// because of that request.
   Duration mSuspectWithin = std::chrono::seconds(1);
--- a/src/pepperbay/relay/exchange.cpp
+++ b/src/pepperbay/relay/exchange.cpp
@@ -88,7 +88,7 @@
   if (!mService->mPool) {
     mCore->mRetries.OnRequest(mService->mName);
   }
-  PlaceAndSend(false, [this](const std::string& aWhy) { Refuse(aWhy); });
+  AllocateAndSend(false, [this](const std::string& aWhy) { Refuse(aWhy); });
 }
 
 bool
@@ -380,7 +380,7 @@
   if (failed && MayHedge()) {
     mFallback = std::move(answer);
     DropAttempt();
-    PlaceAndSend(true, [this](const std::string&) { AnswerFallback("no second engine"); });
+    AllocateAndSend(true, [this](const std::string&) { AnswerFallback("no second engine"); });
     return;
   }
   mCore->mBalancer.OnAnswer(mCurrent.mTarget.mEngine);
--- a/src/pepperbay/relay/exchange.hpp
+++ b/src/pepperbay/relay/exchange.hpp
@@ -67,10 +67,10 @@
 };
 
 /// A retry that is waiting until an engine can take the request.
-struct AwaitedAttempt
+struct PendingRetry
 {
   std::string mWhy; ///< why the last attempt failed
-  TimePoint mAskAt{};
+  TimePoint mRetryAt{};
 };
 
 /// A request of a caller, from its arrival to the end of its answer. Used by the relay's thread
@@ -96,10 +96,10 @@
 private:
   enum class Phase
   {
-    kPlacing, ///< waits for a slot at a replica
-    kWaiting, ///< sent to an engine, no answer yet
-    kWhole,   ///< a plain answer is being buffered
-    kEvents,  ///< events are forwarded as they arrive
+    kAwaitingSlot, ///< waits for a slot at a replica
+    kWaiting,      ///< sent to an engine, no answer yet
+    kWhole,        ///< a plain answer is being buffered
+    kEvents,       ///< events are forwarded as they arrive
     kOver,
   };
 
@@ -107,17 +107,17 @@
   /// Answers that the configuration lacks what the request names or, where a newer configuration
   /// may have it, that the request has not run.
   void RefuseMiss(const TrafficPlan& aPlan, int aStatus, const char* aReason, const char* aDetail);
-  using NoPlace = std::function<void(const std::string& aWhy)>;
+  using OnNoTarget = std::function<void(const std::string& aWhy)>;
   /// Selects an engine and sends the request, or calls `aOtherwise` with the reason why none is
   /// available.
   /// @param aAgain this is a retry and draws on the retry budget
-  void PlaceAndSend(bool aAgain, const NoPlace& aOtherwise);
+  void AllocateAndSend(bool aAgain, const OnNoTarget& aOtherwise);
   /// The same, after the retry budget of a plain service was drawn on.
-  void FindAndSend(bool aAgain, const NoPlace& aOtherwise);
-  PlaceRequest MakePlaceRequest(bool aAgain) const;
+  void SelectAndSend(bool aAgain, const OnNoTarget& aOtherwise);
+  PlaceRequest MakeSlotRequest(bool aAgain) const;
   /// Requests a slot in a pool. If the pool's share of the retry budget is used up, the retry is
   /// requested from the node that holds the rest of the budget.
-  void AskForPlace(bool aAgain, PlaceAgent::Done aDone);
+  void RequestSlot(bool aAgain, PlaceAgent::Done aDone);
   static EngineDispatch DispatchTo(const Place& aPlace);
   /// @return a dispatch to an engine of a plain service; none if no engine is available.
   std::optional<EngineDispatch> ChooseEngine() const;
@@ -125,19 +125,19 @@
   /// to it again; null for none.
   const EngineTarget* StaleEngine() const;
   /// @return whether the attempt limit allows an engine that the request was not yet sent to.
-  bool MayAskFurther() const;
+  bool MayTryNewEngine() const;
   /// @return engines of a pool to which the request may be sent a second time, since no dispatch to
   /// them is pending.
-  std::set<std::string> AskOnceMore() const;
+  std::set<std::string> RepeatableEngines() const;
   /// @return engines to which the request must not be sent.
-  std::set<std::string> Barred() const;
+  std::set<std::string> ForbiddenEngines() const;
   /// @return engines to exclude now: the barred ones, and for a retry also silent heads, as long as
   /// another engine remains.
-  std::set<std::string> LeftOut() const;
+  std::set<std::string> ExcludedEngines() const;
   /// @return heads of a pool whose streams at this node have stalled.
   std::set<std::string> SilentHeads() const;
   /// @return whether an engine outside this set could take the request, as far as this node knows.
-  bool HasTargetBeside(const std::set<std::string>& aLeftOut) const;
+  bool HasTargetExcluding(const std::set<std::string>& aExcluded) const;
   /// @return whether the request may be sent to the engine of a granted slot.
   bool IsUsable(const Place& aPlace) const;
   /// @return whether another engine could take the request, as far as this node knows.
@@ -179,7 +179,7 @@
   /// Counts that no engine was found for resuming the request elsewhere.
   void CountRefusedMove(const std::string& aWhy);
   /// Retries a request that no engine could take, once that is due.
-  void TickAwaited();
+  void TickPendingRetry();
   /// Releases the resources that are counted for a finished dispatch.
   void EndCounts(EngineDispatch* aDispatch);
   UpstreamRequest MakeUpstreamRequest(const AttemptTarget& aTarget) const;
@@ -325,11 +325,11 @@
   bool mHedgePending = false;  ///< a slot elsewhere is being requested
   TimePoint mHedgeNotBefore{}; ///< no earlier hedge, since no slot was found or the hedge failed
   int mMovesRefused = 0;       ///< times that no slot was found
-  std::optional<AwaitedAttempt> mAwaited;
+  std::optional<PendingRetry> mPendingRetry;
   int mSent = 0; ///< dispatches, without repeats after a stale connection
   int mConnectFailures = 0;
   Duration mLimitedFor{ 0 }; ///< time until engines with free slots are below their rate limit
-  bool mFoundFull = false;   ///< all replicas were at capacity when a slot was requested
+  bool mAllFull = false;     ///< all replicas were at capacity when a slot was requested
   bool mBrokenOff = false;   ///< an engine closed the connection during the request
   bool mMayHaveRun = false;
 
--- a/src/pepperbay/relay/exchange_ends.cpp
+++ b/src/pepperbay/relay/exchange_ends.cpp
@@ -18,7 +18,7 @@
 constexpr int kMostConnectFailures = 3;
 
 /// Callers wait for at most this fraction (one third) of their remaining time before they retry.
-constexpr int kCallersWait = 3;
+constexpr int kMaxWaitDivisor = 3;
 
 std::string
 Seconds(Duration aDuration)
@@ -33,8 +33,8 @@
 void
 Exchange::Tick()
 {
-  if (mAwaited) {
-    TickAwaited();
+  if (mPendingRetry) {
+    TickPendingRetry();
     return;
   }
   if (mPhase == Phase::kOver || !mCurrent.mAttempt) {
@@ -150,7 +150,7 @@
   progress.mRepeatable = mRoute->Repeatable();
   progress.mMayHaveRun = mMayHaveRun;
   progress.mAnswerBegun = mStreamStarted;
-  const bool again = StaleEngine() != nullptr || !AskOnceMore().empty();
+  const bool again = StaleEngine() != nullptr || !RepeatableEngines().empty();
   progress.mSent = mAsked.Count() - (again ? 1 : 0);
   progress.mMostSent = mRoute->mMaxAttempts;
   progress.mLeft = Left();
@@ -165,15 +165,15 @@
 }
 
 void
-Exchange::TickAwaited()
+Exchange::TickPendingRetry()
 {
   const TimePoint now = mCore->Now();
   if (now >= mDeadlineAt) {
-    mAwaited.reset();
+    mPendingRetry.reset();
     OnDeadline();
-  } else if (now >= mAwaited->mAskAt) {
-    const std::string why = mAwaited->mWhy;
-    mAwaited.reset();
+  } else if (now >= mPendingRetry->mRetryAt) {
+    const std::string why = mPendingRetry->mWhy;
+    mPendingRetry.reset();
     AfterAttempt(why, Progress());
   }
 }
@@ -192,17 +192,17 @@
 {
   switch (AfterFailure(aProgress)) {
     case FailureStep::kSendAgain:
-      PlaceAndSend(mSent > 0, [this, aWhy, aProgress](const std::string& aNoPlace) {
-        LogFailedAttempt(mCurrent, aWhy, mMayHaveRun, aNoPlace);
+      AllocateAndSend(mSent > 0, [this, aWhy, aProgress](const std::string& aNoTarget) {
+        LogFailedAttempt(mCurrent, aWhy, mMayHaveRun, aNoTarget);
         RequestProgress last = aProgress;
         last.mHasTarget = false;
         AfterAttempt(aWhy, last);
       });
       return;
     case FailureStep::kWait:
-      mPhase = Phase::kPlacing;
+      mPhase = Phase::kAwaitingSlot;
       CountRefusedMove(WhyNotAgain(aProgress));
-      mAwaited = AwaitedAttempt{ aWhy, mCore->Now() + kSlotRetryDelay };
+      mPendingRetry = PendingRetry{ aWhy, mCore->Now() + kSlotRetryDelay };
       return;
     case FailureStep::kRefuse:
       Refuse(aWhy);
@@ -264,10 +264,10 @@
   Duration after = mCore->mOptions.mRetryAfter;
   if (mLimitedFor > Duration::zero()) {
     after = mLimitedFor; // the node that counts the limit has already spread the retries
-  } else if (mFoundFull) {
+  } else if (mAllFull) {
     // Callers that are refused together and return together would find the replicas full again. So
     // each gets a jitter, derived from its request ID.
-    const Duration most = std::min(mCore->mOptions.mSpreadReturns, Left() / kCallersWait - after);
+    const Duration most = std::min(mCore->mOptions.mRetryJitter, Left() / kMaxWaitDivisor - after);
     constexpr std::uint64_t kParts = 1024;
     const auto part = static_cast<Duration::rep>(Hash64(mFacts.mId) % kParts);
     after += std::max(Duration::zero(), most) * part / static_cast<Duration::rep>(kParts);
@@ -306,7 +306,7 @@
     return;
   }
   mPhase = Phase::kOver;
-  mAwaited.reset();
+  mPendingRetry.reset();
   if (mStale) {
     // No other connection has shown whether this engine has exited.
     mCore->mEndings.OnBrokenOff(mStale->mTarget, mStale->mRequest);
--- a/src/pepperbay/relay/exchange_second.cpp
+++ b/src/pepperbay/relay/exchange_second.cpp
@@ -25,7 +25,7 @@
 bool
 Exchange::MayHedge() const
 {
-  return MayAskFurther() && !IsHeldBack() && HasTarget() && HasBudget();
+  return MayTryNewEngine() && !IsHeldBack() && HasTarget() && HasBudget();
 }
 
 void
@@ -65,7 +65,7 @@
   if (!mRoute->Repeatable() || !mService->mPool || !ShouldHedgeStream(mCurrent)) {
     return;
   }
-  if (!MayAskFurther() && IsSilentFor(mCurrent, kSilentEngineTimeout)) {
+  if (!MayTryNewEngine() && IsSilentFor(mCurrent, kSilentEngineTimeout)) {
     OnFailure("replica_lost", true);
   } else if (now >= mHedgeNotBefore && !IsHeldBack() && MayHedgeStream()) {
     HedgeStream("replica_lost");
@@ -78,8 +78,8 @@
   // An engine that refused may refuse again and does not get the request a third time. So it is not
   // used while the first engine may only pause.
   const bool again = IsPathDown(mCurrent) || IsSilentFor(mCurrent, kUnservedTimeout);
-  const bool fresh = MayAskFurther() && HasTargetBeside(mTried);
-  return (fresh || (again && !AskOnceMore().empty())) && HasTarget();
+  const bool fresh = MayTryNewEngine() && HasTargetExcluding(mTried);
+  return (fresh || (again && !RepeatableEngines().empty())) && HasTarget();
 }
 
 bool
@@ -117,7 +117,7 @@
   if (!IsSilentFor(*mHedge, kUnservedTimeout)) {
     return false;
   }
-  const bool another = (MayAskFurther() || !AskOnceMore().empty()) && HasTarget();
+  const bool another = (MayTryNewEngine() || !RepeatableEngines().empty()) && HasTarget();
   return another || IsSilentFor(*mHedge, kSilentEngineTimeout);
 }
 
@@ -153,7 +153,7 @@
 Exchange::HedgeStream(const std::string& aWhy)
 {
   mHedgePending = true;
-  AskForPlace(true,
+  RequestSlot(true,
               [self = shared_from_this(), serial = mCurrent.mSerial, aWhy](const Place& aPlace) {
                 self->mHedgePending = false;
                 if (aPlace.mOutcome != PlaceOutcome::kGranted) {
--- a/src/pepperbay/relay/exchange_sending.cpp
+++ b/src/pepperbay/relay/exchange_sending.cpp
@@ -47,7 +47,7 @@
     return again;
   }
   Balancer::EngineQuery query;
-  query.mTried = ShortIds(LeftOut());
+  query.mTried = ShortIds(ExcludedEngines());
   query.mOnce = !mRoute->Repeatable();
   if (mCore->mPlaces.HasLimits(mService->mName)) {
     query.mStanding = [this](const EngineTarget& aEngine) {
@@ -65,17 +65,17 @@
 }
 
 PlaceRequest
-Exchange::MakePlaceRequest(bool aAgain) const
+Exchange::MakeSlotRequest(bool aAgain) const
 {
   PlaceRequest request;
   request.mService = mService->mName;
-  request.mTried = LeftOut();
+  request.mTried = ExcludedEngines();
   // A retry gets the highest urgency, since it has waited already.
   request.mClaimant = { aAgain ? 0 : std::clamp(mPriority, 0, kLeastUrgent), ShortId(mCustomer) };
   request.mAgain = aAgain;
   if (!mService->mPool) {
     request.mOnce = !mRoute->Repeatable();
-    request.mDrawn = aAgain; // PlaceAndSend() has drawn on the budget
+    request.mDrawn = aAgain; // AllocateAndSend() has drawn on the budget
     return request;
   }
   const EnginePool& pool = *mService->mPool;
@@ -90,10 +90,10 @@
 }
 
 void
-Exchange::AskForPlace(bool aAgain, PlaceAgent::Done aDone)
+Exchange::RequestSlot(bool aAgain, PlaceAgent::Done aDone)
 {
   mCore->mPlaces.Ask(
-    MakePlaceRequest(aAgain),
+    MakeSlotRequest(aAgain),
     [self = shared_from_this(), done = std::move(aDone)](const Place& aPlace) {
       if (aPlace.mOutcome != PlaceOutcome::kNoBudget || self->mPhase == Phase::kOver) {
         done(aPlace);
@@ -104,7 +104,7 @@
           done(aPlace);
           return;
         }
-        PlaceRequest request = self->MakePlaceRequest(true);
+        PlaceRequest request = self->MakeSlotRequest(true);
         request.mDrawn = true;
         self->mCore->mPlaces.Ask(request, done);
       });
@@ -126,13 +126,13 @@
 }
 
 void
-Exchange::PlaceAndSend(bool aAgain, const NoPlace& aOtherwise)
+Exchange::AllocateAndSend(bool aAgain, const OnNoTarget& aOtherwise)
 {
   if (mService->mPool || !aAgain) {
-    FindAndSend(aAgain, aOtherwise);
+    SelectAndSend(aAgain, aOtherwise);
     return;
   }
-  mPhase = Phase::kPlacing;
+  mPhase = Phase::kAwaitingSlot;
   mCore->mRetries.Ask(mService->mName, [self = shared_from_this(), aOtherwise](bool aGranted) {
     if (self->mPhase == Phase::kOver) {
       return; // the caller has disconnected
@@ -141,12 +141,12 @@
       aOtherwise(ToString(PlaceOutcome::kNoBudget));
       return;
     }
-    self->FindAndSend(true, aOtherwise);
+    self->SelectAndSend(true, aOtherwise);
   });
 }
 
 void
-Exchange::FindAndSend(bool aAgain, const NoPlace& aOtherwise)
+Exchange::SelectAndSend(bool aAgain, const OnNoTarget& aOtherwise)
 {
   if (!mService->mPool && !mCore->mPlaces.HasLimits(mService->mName)) {
     auto dispatch = ChooseEngine();
@@ -157,13 +157,13 @@
     SendToEngine(std::move(*dispatch));
     return;
   }
-  mPhase = Phase::kPlacing;
-  AskForPlace(aAgain, [self = shared_from_this(), aOtherwise](const Place& aPlace) {
+  mPhase = Phase::kAwaitingSlot;
+  RequestSlot(aAgain, [self = shared_from_this(), aOtherwise](const Place& aPlace) {
     if (self->mPhase == Phase::kOver) {
       self->mCore->mPlaces.End(aPlace.mTicket); // the caller has disconnected
       return;
     }
-    self->mFoundFull = aPlace.mOutcome == PlaceOutcome::kFull;
+    self->mAllFull = aPlace.mOutcome == PlaceOutcome::kFull;
     self->mLimitedFor = aPlace.mRetryAfter;
     if (aPlace.mOutcome != PlaceOutcome::kGranted) {
       aOtherwise(ToString(aPlace.mOutcome));
@@ -179,13 +179,13 @@
 }
 
 bool
-Exchange::MayAskFurther() const
+Exchange::MayTryNewEngine() const
 {
   return mAsked.Count() - (StaleEngine() != nullptr ? 1 : 0) < mRoute->mMaxAttempts;
 }
 
 std::set<std::string>
-Exchange::AskOnceMore() const
+Exchange::RepeatableEngines() const
 {
   if (!mService->mPool || !mRoute->Repeatable()) {
     return {};
@@ -221,24 +221,24 @@
 }
 
 std::set<std::string>
-Exchange::LeftOut() const
+Exchange::ExcludedEngines() const
 {
-  std::set<std::string> barred = Barred();
+  std::set<std::string> forbidden = ForbiddenEngines();
   if (!mService->mPool || mSent == 0) {
-    return barred;
+    return forbidden;
   }
   std::set<std::string> all = SilentHeads();
-  all.insert(barred.begin(), barred.end());
+  all.insert(forbidden.begin(), forbidden.end());
   all.insert(mUnreached.begin(), mUnreached.end());
-  return HasTargetBeside(all) ? all : barred; // a silent engine may continue
+  return HasTargetExcluding(all) ? all : forbidden; // a silent engine may continue
 }
 
 std::set<std::string>
-Exchange::Barred() const
+Exchange::ForbiddenEngines() const
 {
   std::set<std::string> engines = mTried;
-  const bool further = MayAskFurther();
-  if (!mService->mPool || (further && HasTargetBeside(engines))) {
+  const bool further = MayTryNewEngine();
+  if (!mService->mPool || (further && HasTargetExcluding(engines))) {
     return engines;
   }
   // A slot request can exclude engines but cannot list the only permitted ones. So all other heads
@@ -249,7 +249,7 @@
       engines.insert(it.mHead.mId);
     }
   }
-  for (const auto& it : AskOnceMore()) {
+  for (const auto& it : RepeatableEngines()) {
     engines.erase(it);
   }
   return engines;
@@ -258,26 +258,26 @@
 bool
 Exchange::IsUsable(const Place& aPlace) const
 {
-  return MayAskFurther() || AskOnceMore().count(aPlace.mHead.mId) != 0;
+  return MayTryNewEngine() || RepeatableEngines().count(aPlace.mHead.mId) != 0;
 }
 
 bool
-Exchange::HasTargetBeside(const std::set<std::string>& aLeftOut) const
+Exchange::HasTargetExcluding(const std::set<std::string>& aExcluded) const
 {
   const TrafficPlan& plan = *mCore->mPlan;
   const Balancer& balancer = mCore->mBalancer;
   const TimePoint now = mCore->Now();
   if (!mService->mPool) {
-    return balancer.PickEngine(plan, mService->mName, aLeftOut, !mRoute->Repeatable(), now) !=
+    return balancer.PickEngine(plan, mService->mName, aExcluded, !mRoute->Repeatable(), now) !=
            nullptr;
   }
-  return balancer.PickReplica(plan, *mService, mFacts.mModel, aLeftOut, now).mReplica != nullptr;
+  return balancer.PickReplica(plan, *mService, mFacts.mModel, aExcluded, now).mReplica != nullptr;
 }
 
 bool
 Exchange::HasTarget() const
 {
-  return HasTargetBeside(Barred());
+  return HasTargetExcluding(ForbiddenEngines());
 }
 
 bool
--- a/src/pepperbay/relay/relay_test.cpp
+++ b/src/pepperbay/relay/relay_test.cpp
@@ -486,7 +486,7 @@
   EXPECT_GE(times.size(), 15U);
   const auto seconds = [](Duration aTime) { return std::chrono::duration<double>(aTime).count(); };
   EXPECT_GE(*times.begin(), seconds(options.mRetryAfter));
-  EXPECT_LE(*times.rbegin(), seconds(options.mRetryAfter + options.mSpreadReturns));
+  EXPECT_LE(*times.rbegin(), seconds(options.mRetryAfter + options.mRetryJitter));
   const std::string hurried = Ask(Post("/stream/", "x", "Model: m\r\nLeft-Ms: 1500\r\n"));
   const auto at = hurried.find("Retry-After: ");
   ASSERT_NE(at, std::string::npos) << hurried;
