--- a/include/pepperbay/relay/dialect.hpp
+++ b/include/pepperbay/relay/dialect.hpp
@@ -27,12 +27,12 @@
   double mPromptTokens = 0;                ///< to be processed before the first event; 0: unknown
   std::optional<std::uint64_t> mLastEvent; ///< ID of the last event that the caller received
   /// IDs of the prompt parts that other requests may share, in order. The last part belongs to this
-  /// request only and is left out. At most kMostPromptParts.
+  /// request only and is left out. At most kMaxPromptParts.
   std::vector<std::string> mPromptParts;
 };
 
 /// Limit on the prompt parts of a request; further parts are ignored.
-inline constexpr std::size_t kMostPromptParts = 64;
+inline constexpr std::size_t kMaxPromptParts = 64;
 
 /// Metadata that the relay adds to the caller's headers when it sends a request to an engine.
 struct RequestStamp
--- a/include/pepperbay/relay/relay.hpp
+++ b/include/pepperbay/relay/relay.hpp
@@ -37,7 +37,7 @@
   double mRetryShare = 0.2;
   double mRetrySlack = 100;
   /// Requests that still run this long after the stop was requested are aborted.
-  Duration mStopMost = std::chrono::milliseconds(7200);
+  Duration mMaxStopTime = std::chrono::milliseconds(7200);
 };
 
 struct RelayOptions
@@ -77,7 +77,7 @@
   Duration mSuspectWithin = std::chrono::seconds(1);
   /// Limit on the bytes of incomplete answers and events that are buffered for all requests
   /// together. An answer that would exceed it is aborted.
-  std::size_t mMostKeptBytes = std::size_t{ 48 } << 20U;
+  std::size_t mMaxBufferedBytes = std::size_t{ 48 } << 20U;
   /// Time after a stop request until the load balancer sends no more connections.
   Duration mStopGrace = std::chrono::milliseconds(2600);
   Duration mTick = std::chrono::milliseconds(20);
--- a/src/pepperbay/relay/attempt.cpp
+++ b/src/pepperbay/relay/attempt.cpp
@@ -15,8 +15,8 @@
 
 namespace {
 // An engine's answer that exceeds one of these limits is invalid.
-constexpr std::uint32_t kMostHeaderBytes = 65536;
-constexpr int kMostInterim = 16; // interim (1xx) answers to one request
+constexpr std::uint32_t kMaxHeaderBytes = 65536;
+constexpr int kMaxInterimAnswers = 16; // interim (1xx) answers to one request
 }
 
 Attempt::Attempt(EngineConnector* aConnector, ConnectionPool* aPool, AttemptTarget aTarget)
@@ -81,7 +81,7 @@
 Attempt::ReadHead()
 {
   mParser.emplace();
-  mParser->header_limit(kMostHeaderBytes);
+  mParser->header_limit(kMaxHeaderBytes);
   mParser->body_limit(std::numeric_limits<std::uint64_t>::max()); // limited by the receiver
   if (mRequest.method() == http::verb::head) {
     mParser->skip(true);
@@ -108,7 +108,7 @@
 {
   constexpr int kFirstFinal = 200;
   if (mParser->get().result_int() < kFirstFinal) {
-    if (++mInterim > kMostInterim) {
+    if (++mInterim > kMaxInterimAnswers) {
       mBadBytes = true;
       Finish(false, "head: too many interim answers");
       return;
@@ -224,7 +224,7 @@
   // Unexpected bytes after the answer, or an unsent rest of this request, would corrupt the next
   // exchange on the connection.
   if (mParser->keep_alive() && mBuffer.size() == 0 && mAllWritten) {
-    mPool->Put(mTarget.mEngine, std::move(*mSocket), mKeepAlive, mMostIdle);
+    mPool->Put(mTarget.mEngine, std::move(*mSocket), mKeepAlive, mMaxIdle);
     return;
   }
   CloseConnection();
--- a/src/pepperbay/relay/attempt.hpp
+++ b/src/pepperbay/relay/attempt.hpp
@@ -77,10 +77,10 @@
   void SetKeepAlive(std::optional<Duration> aKeepAlive) { mKeepAlive = aKeepAlive; }
   /// Sets the limit on idle connections to the engine; at the limit the connection is closed after
   /// the answer.
-  void SetMostIdle(std::size_t aMost) { mMostIdle = aMost; }
+  void SetMaxIdle(std::size_t aMaxIdle) { mMaxIdle = aMaxIdle; }
 
 private:
-  static constexpr std::size_t kMostBuffered = std::size_t{ 256 } << 10U; // bytes
+  static constexpr std::size_t kMaxBufferedBytes = std::size_t{ 256 } << 10U; // bytes
 
   void Connect();
   void Send();
@@ -103,11 +103,11 @@
   std::optional<boost::beast::http::request_serializer<boost::beast::http::string_body>>
     mSerializer;
   /// Bounded because the parser buffers whole lines, and a chunk's size line has no other limit.
-  boost::beast::flat_buffer mBuffer{ kMostBuffered };
+  boost::beast::flat_buffer mBuffer{ kMaxBufferedBytes };
   std::optional<boost::beast::http::response_parser<boost::beast::http::buffer_body>> mParser;
   std::array<char, 8192> mPiece{};
   std::optional<Duration> mKeepAlive;
-  std::size_t mMostIdle = 1;
+  std::size_t mMaxIdle = 1;
   int mInterim = 0; ///< interim (1xx) answers received
   bool mSent = false;
   bool mAllWritten = false;
--- a/src/pepperbay/relay/connecting.cpp
+++ b/src/pepperbay/relay/connecting.cpp
@@ -80,7 +80,7 @@
     return false;
   }
   const bool fails = !mConnector->mPeers.Usable(peer->mNode, now);
-  if (fails && mFailingAsked >= mConnector->mOptions.mMostFailing) {
+  if (fails && mFailingAsked >= mConnector->mOptions.mMaxFailedPeers) {
     return false;
   }
   mFailingAsked += fails ? 1 : 0;
--- a/src/pepperbay/relay/connection_pool.cpp
+++ b/src/pepperbay/relay/connection_pool.cpp
@@ -6,14 +6,15 @@
 namespace pepperbay {
 
 std::size_t
-MostIdleConnections(int aMostOfAll, int aNodes)
+MaxIdleConnections(int aMaxConnections, int aNodes)
 {
-  constexpr std::size_t kMost = 12;
+  constexpr std::size_t kMaxIdle = 12;
   constexpr int kHalf = 2;
-  if (aMostOfAll <= 0) {
-    return kMost;
+  if (aMaxConnections <= 0) {
+    return kMaxIdle;
   }
-  return std::min(kMost, static_cast<std::size_t>(aMostOfAll / kHalf / std::max(1, aNodes)));
+  return std::min(kMaxIdle,
+                  static_cast<std::size_t>(aMaxConnections / kHalf / std::max(1, aNodes)));
 }
 
 ConnectionPool::ConnectionPool(const ConnectionPoolOptions& aOptions, NowFn aNow)
@@ -53,14 +54,14 @@
 ConnectionPool::Put(const std::string& aEngine,
                     EngineSocket aSocket,
                     std::optional<Duration> aKeepAlive,
-                    std::size_t aMost)
+                    std::size_t aMaxIdle)
 {
   const Duration keep = aKeepAlive ? *aKeepAlive - mOptions.mMargin : mOptions.mIdle;
   if (keep <= Duration::zero()) {
     return;
   }
   auto& idle = mIdle[aEngine];
-  if (idle.size() >= aMost) {
+  if (idle.size() >= aMaxIdle) {
     return;
   }
   idle.push_back({ std::move(aSocket), mNow() + keep });
--- a/src/pepperbay/relay/connection_pool.hpp
+++ b/src/pepperbay/relay/connection_pool.hpp
@@ -15,11 +15,11 @@
 
 /// Engines limit the connections of all their clients together. A node may keep idle only its share
 /// of half of them, since connections in use count towards the limit as well.
-/// @param aMostOfAll the engine's limit on connections from all clients; 0: not given
+/// @param aMaxConnections the engine's limit on connections from all clients; 0: not given
 /// @param aNodes number of nodes that may connect to the engine
 /// @return limit on the idle connections that one node keeps to one engine
 std::size_t
-MostIdleConnections(int aMostOfAll, int aNodes);
+MaxIdleConnections(int aMaxConnections, int aNodes);
 
 struct ConnectionPoolOptions
 {
@@ -49,11 +49,11 @@
                                    const std::function<bool(const std::string& aPeer)>& aMayUse);
   /// Adds an idle connection, or closes it if the pool must not keep it.
   /// @param aKeepAlive keep-alive time that the engine gave; none: the default
-  /// @param aMost limit on the idle connections to the engine
+  /// @param aMaxIdle limit on the idle connections to the engine
   void Put(const std::string& aEngine,
            EngineSocket aSocket,
            std::optional<Duration> aKeepAlive,
-           std::size_t aMost);
+           std::size_t aMaxIdle);
   /// Closes the idle connections to an engine.
   void Forget(const std::string& aEngine) { mIdle.erase(aEngine); }
   /// Closes idle connections by peer: those for which `aForgets` is true, which is called with the
--- a/src/pepperbay/relay/connection_pool_test.cpp
+++ b/src/pepperbay/relay/connection_pool_test.cpp
@@ -11,13 +11,13 @@
 {
   for (const int most : { 52, 110, 404, 640, 1952 }) {
     for (const int nodes : { 1, 8, 75, 295, 1300 }) {
-      EXPECT_LE(MostIdleConnections(most, nodes) * static_cast<std::size_t>(nodes),
+      EXPECT_LE(MaxIdleConnections(most, nodes) * static_cast<std::size_t>(nodes),
                 static_cast<std::size_t>(most) / 2)
         << most << " connections, " << nodes << " nodes";
     }
   }
-  EXPECT_GE(MostIdleConnections(404, 8), 8U);
-  EXPECT_GE(MostIdleConnections(0, 1300), 1U) << "an engine that names no bound";
+  EXPECT_GE(MaxIdleConnections(404, 8), 8U);
+  EXPECT_GE(MaxIdleConnections(0, 1300), 1U) << "an engine that names no bound";
 }
 
 } // namespace
--- a/src/pepperbay/relay/ending_probe.cpp
+++ b/src/pepperbay/relay/ending_probe.cpp
@@ -25,7 +25,7 @@
     pending.mTarget = aEngine;
     pending.mAskAt = mNow() + kAskAfter;
   }
-  if (pending.mRequests.size() < kMostKept) {
+  if (pending.mRequests.size() < kMaxPendingRequests) {
     pending.mRequests.push_back(std::move(aRequest));
   }
 }
--- a/src/pepperbay/relay/ending_probe.hpp
+++ b/src/pepperbay/relay/ending_probe.hpp
@@ -38,7 +38,7 @@
   static constexpr std::chrono::milliseconds kAskAfter{ 10 };
   /// Limit on the requests that are kept for one engine until its state is known. More than an
   /// engine has slots.
-  static constexpr std::size_t kMostKept = 256;
+  static constexpr std::size_t kMaxPendingRequests = 256;
 
   using OnFound = std::function<void(const AttemptTarget&, const std::vector<BrokenOff>&)>;
 
--- a/src/pepperbay/relay/engine_connector.cpp
+++ b/src/pepperbay/relay/engine_connector.cpp
@@ -188,10 +188,10 @@
   if (now < looked.mNext) {
     return;
   }
-  const bool lately = now - looked.mNext < mOptions.mLookAgainMost;
+  const bool lately = now - looked.mNext < mOptions.mMaxProbeInterval;
   looked.mPause = lately && looked.mPause > Duration::zero()
-                    ? std::min(looked.mPause * 2, mOptions.mLookAgainMost)
-                    : mOptions.mLookAgain;
+                    ? std::min(looked.mPause * 2, mOptions.mMaxProbeInterval)
+                    : mOptions.mProbeInterval;
   looked.mNext = now + looked.mPause;
   Connect(aEngine, [this, aEngine](EngineConnection aConnection) {
     if (aConnection.mSocket) {
--- a/src/pepperbay/relay/engine_connector.hpp
+++ b/src/pepperbay/relay/engine_connector.hpp
@@ -60,11 +60,11 @@
   Duration mPeerAfter = std::chrono::milliseconds(20);
   /// First interval between probes of a silent engine whose path was found to work. It doubles with
   /// each probe up to the limit below, as long as the engine stays silent.
-  Duration mLookAgain = std::chrono::milliseconds(500);
-  Duration mLookAgainMost = std::chrono::seconds(4);
+  Duration mProbeInterval = std::chrono::milliseconds(500);
+  Duration mMaxProbeInterval = std::chrono::seconds(4);
   /// Limit on the recently failed peers that are asked for one connection. They are asked after all
   /// others.
-  std::size_t mMostFailing = 3;
+  std::size_t mMaxFailedPeers = 3;
 };
 
 /// Starts to connect; see Dial().
--- a/src/pepperbay/relay/exchange.cpp
+++ b/src/pepperbay/relay/exchange.cpp
@@ -18,9 +18,9 @@
 constexpr int kBadRequest = 400;
 
 /// Limit on a plain answer, which is buffered completely before it is forwarded.
-constexpr std::size_t kMostWholeBytes = 16U << 20U;
+constexpr std::size_t kMaxAnswerBytes = 16U << 20U;
 /// Bytes that one answer may always buffer, even when the limit on all answers is exceeded.
-constexpr std::size_t kAlwaysKept = 64U << 10U;
+constexpr std::size_t kMinBufferedBytes = 64U << 10U;
 
 } // namespace
 
@@ -245,8 +245,8 @@
   all -= mKept;
   mKept = mBody.size() + mSplitter.PartialBytes();
   all += mKept;
-  return mKept <= kMostWholeBytes &&
-         (mKept <= kAlwaysKept || all <= mCore->mOptions.mMostKeptBytes);
+  return mKept <= kMaxAnswerBytes &&
+         (mKept <= kMinBufferedBytes || all <= mCore->mOptions.mMaxBufferedBytes);
 }
 
 void
--- a/src/pepperbay/relay/exchange_ends.cpp
+++ b/src/pepperbay/relay/exchange_ends.cpp
@@ -15,7 +15,7 @@
 
 /// Failed connects after which a request is refused. They put no load on engines, but each one
 /// costs the caller time.
-constexpr int kMostConnectFailures = 3;
+constexpr int kMaxConnectFailures = 3;
 
 /// Callers wait for at most this fraction (one third) of their remaining time before they retry.
 constexpr int kMaxWaitDivisor = 3;
@@ -154,7 +154,7 @@
   progress.mSent = mAsked.Count() - (again ? 1 : 0);
   progress.mMostSent = mRoute->mMaxAttempts;
   progress.mLeft = Left();
-  progress.mHasTarget = mConnectFailures < kMostConnectFailures && HasTarget();
+  progress.mHasTarget = mConnectFailures < kMaxConnectFailures && HasTarget();
   progress.mHasBudget = mSent == 0 || HasBudget();
   progress.mHeldBack = IsHeldBack();
   if (mService->mPool && !mFallback) {
--- a/src/pepperbay/relay/exchange_sending.cpp
+++ b/src/pepperbay/relay/exchange_sending.cpp
@@ -339,8 +339,8 @@
   mCore->mBalancer.OnStart(aDispatch->mTarget.mEngine);
   aDispatch->mAttempt =
     std::make_shared<Attempt>(&mCore->mConnector, &mCore->mConnections, aDispatch->mTarget);
-  aDispatch->mAttempt->SetMostIdle(
-    MostIdleConnections(mService->mMaxConnections, mCore->mPlan->mListedNodes));
+  aDispatch->mAttempt->SetMaxIdle(
+    MaxIdleConnections(mService->mMaxConnections, mCore->mPlan->mListedNodes));
   // A cancelled attempt reports no events; the serial distinguishes the current one from the hedge.
   AttemptEvents events;
   events.mOnHead = [self = shared_from_this(), serial](int aStatus, const HeaderFields& aFields) {
--- a/src/pepperbay/relay/relay.cpp
+++ b/src/pepperbay/relay/relay.cpp
@@ -25,7 +25,7 @@
 constexpr unsigned kSessionTicks = 10;
 
 /// If the relay's thread lags by more than this, it has no capacity for other nodes' tunnels.
-constexpr std::chrono::milliseconds kMostLag{ 20 };
+constexpr std::chrono::milliseconds kMaxLag{ 20 };
 constexpr int kLagWeight = 8; ///< weight of the moving average of the lag, in ticks
 constexpr std::chrono::seconds kLogUnreadEvery{ 1 };
 
@@ -236,7 +236,7 @@
     for (const auto& it : sessions) {
       it->CloseWhenIdle();
     }
-    const bool last = since >= mCore.mOptions.mTuning.mStopMost;
+    const bool last = since >= mCore.mOptions.mTuning.mMaxStopTime;
     if (last) {
       const std::vector<std::shared_ptr<Exchange>> exchanges(mCore.mExchanges.begin(),
                                                              mCore.mExchanges.end());
@@ -259,7 +259,7 @@
     if (mCore.mConnector.Avoids()) {
       return "unreached"; // a second hop could form a loop
     }
-    return mLag > kMostLag ? "late" : "";
+    return mLag > kMaxLag ? "late" : "";
   }
 
   RelayCore mCore;
--- a/src/pepperbay/relay/relay_endless_test.cpp
+++ b/src/pepperbay/relay/relay_endless_test.cpp
@@ -79,7 +79,7 @@
 {
   constexpr std::size_t kHalf = std::size_t{ 300 } << 10U;
   RelayOptions options;
-  options.mMostKeptBytes = std::size_t{ 512 } << 10U;
+  options.mMaxBufferedBytes = std::size_t{ 512 } << 10U;
   std::promise<void> over;
   RawEngine engine([&](RawConnection& aConnection) {
     const std::string request = aConnection.ReadRequest();
@@ -108,7 +108,7 @@
 TEST_F(RelayEndless, EventsAreBoundedWithThem)
 {
   RelayOptions options;
-  options.mMostKeptBytes = std::size_t{ 512 } << 10U;
+  options.mMaxBufferedBytes = std::size_t{ 512 } << 10U;
   mStreamAttempts = 1;
   RawEngine engine([](RawConnection& aConnection) {
     aConnection.ReadRequest();
--- a/src/pepperbay/relay/relay_stop_test.cpp
+++ b/src/pepperbay/relay/relay_stop_test.cpp
@@ -98,7 +98,7 @@
 {
   ServeAndBegin();
   BeginStop();
-  mClock.Advance(RelayTuning().mStopMost);
+  mClock.Advance(RelayTuning().mMaxStopTime);
   const std::string answer = mInProgress.get();
   EXPECT_EQ(StatusOf(answer), 502);
   EXPECT_TRUE(Has(answer, "\"ran\":\"unknown\""));
