--- a/src/pepperbay/relay/connecting.cpp
+++ b/src/pepperbay/relay/connecting.cpp
@@ -185,11 +185,11 @@
   }
   // No second node can tell. If this node reaches other engines, it is not partitioned, and its own
   // refusal is enough.
-  if (!mConnector->mPeers.Any() && !mConnector->HasOther(mEngine.mEngine)) {
+  if (!mConnector->mPeers.Any() && !mConnector->HasOtherEngine(mEngine.mEngine)) {
     FinishUnconnected(true);
     return;
   }
-  mConnector->FindSight(mEngine.mEngine, mBegun, [self = shared_from_this()](bool aSees) {
+  mConnector->CheckReachability(mEngine.mEngine, mBegun, [self = shared_from_this()](bool aSees) {
     if (!self->Over()) {
       self->FinishUnconnected(aSees);
     }
--- a/src/pepperbay/relay/connector_sight_test.cpp
+++ b/src/pepperbay/relay/connector_sight_test.cpp
@@ -89,7 +89,7 @@
   world.mPausedUntil["e1"] = world.mClock.Now() + milliseconds(1500);
   std::vector<bool> seen;
   for (int i = 0; i < 4; ++i) {
-    world.mConnector.FindSight(
+    world.mConnector.CheckReachability(
       "e0", world.mClock.Now(), [&seen](bool aSees) { seen.push_back(aSees); });
     world.Run(milliseconds(150));
   }
@@ -108,7 +108,7 @@
     world.Run(milliseconds(100));
     world.mPausedUntil["e0"] = world.mClock.Now() + milliseconds(pause);
     for (int i = 0; i < 10; ++i) {
-      world.mConnector.Look(world.mEngines[0]);
+      world.mConnector.ProbeIfDue(world.mEngines[0]);
       world.Run(milliseconds(200));
     }
     EXPECT_EQ(world.mAvoided, 0) << "a pause of " << pause << " ms";
@@ -123,7 +123,8 @@
     world.SetPeers(TwoPeers());
     world.mPath = cut;
     std::optional<bool> sees;
-    world.mConnector.FindSight("e0", world.mClock.Now(), [&sees](bool aSees) { sees = aSees; });
+    world.mConnector.CheckReachability(
+      "e0", world.mClock.Now(), [&sees](bool aSees) { sees = aSees; });
     world.Run(milliseconds(150));
     ASSERT_TRUE(sees.has_value());
     EXPECT_FALSE(*sees);
--- a/src/pepperbay/relay/connector_world.hpp
+++ b/src/pepperbay/relay/connector_world.hpp
@@ -127,7 +127,7 @@
     hooks.mOnAvoid = [this](bool aAvoids) { mAvoided += aAvoids ? 1 : 0; };
     hooks.mEngines = [this] { return mEngines; };
     hooks.mOnCarried = [] {};
-    hooks.mKeep = [](const AttemptTarget&, const EngineSocket&) {};
+    hooks.mOnProbeConnected = [](const AttemptTarget&, const EngineSocket&) {};
     hooks.mDial = [this](Socket&, const std::string& aAddress, auto aDone) {
       After(kRoundTrip, [this, aAddress, done = std::move(aDone)] { Answer(aAddress, done); });
     };
--- a/src/pepperbay/relay/engine_connector.cpp
+++ b/src/pepperbay/relay/engine_connector.cpp
@@ -9,9 +9,9 @@
 namespace pepperbay {
 
 /// A direct connection that is opened to test the network path.
-struct EngineConnector::Trial
+struct EngineConnector::DirectProbe
 {
-  Trial(boost::asio::io_context& aContext, AttemptTarget aEngine)
+  DirectProbe(boost::asio::io_context& aContext, AttemptTarget aEngine)
     : mSocket(aContext)
     , mEngine(std::move(aEngine))
   {
@@ -85,32 +85,32 @@
       it->Tick();
     }
   }
-  for (const auto& it : std::vector<std::shared_ptr<Trial>>(mTrials)) {
+  for (const auto& it : std::vector<std::shared_ptr<DirectProbe>>(mProbes)) {
     if (it->mDone && now >= it->mUntil) {
       CloseNow(it->mSocket);
       std::exchange(it->mDone, nullptr)(false);
     }
   }
-  mTrials.erase(std::remove_if(mTrials.begin(),
-                               mTrials.end(),
-                               [](const auto& aTrial) { return aTrial->mDone == nullptr; }),
-                mTrials.end());
+  mProbes.erase(std::remove_if(mProbes.begin(),
+                               mProbes.end(),
+                               [](const auto& aProbe) { return aProbe->mDone == nullptr; }),
+                mProbes.end());
   if (mWays.TakeProbe(now)) {
-    TryWay();
+    ProbeDirectPath();
   }
 }
 
 void
-EngineConnector::TryWay()
+EngineConnector::ProbeDirectPath()
 {
   const std::string reached = mWays.EngineToTry();
   const std::vector<AttemptTarget> engines = mHooks.mEngines();
   const auto it = std::find_if(
     engines.begin(), engines.end(), [&reached](const auto& aIt) { return aIt.mEngine == reached; });
-  const auto engine = it == engines.end() ? NextToTry({}) : std::make_optional(*it);
+  const auto engine = it == engines.end() ? NextToProbe({}) : std::make_optional(*it);
   if (engine) {
-    Try(*engine, mOptions.mTimeout, [this](bool aStands) {
-      if (!aStands) {
+    ProbeDirect(*engine, mOptions.mTimeout, [this](bool aConnected) {
+      if (!aConnected) {
         mWays.OnBadProbe(Now());
       }
     });
@@ -118,7 +118,7 @@
 }
 
 std::optional<AttemptTarget>
-EngineConnector::NextToTry(const std::set<std::string>& aExcept)
+EngineConnector::NextToProbe(const std::set<std::string>& aExcept)
 {
   std::vector<AttemptTarget> engines = mHooks.mEngines();
   engines.erase(std::remove_if(engines.begin(),
@@ -128,11 +128,11 @@
   if (engines.empty()) {
     return std::nullopt;
   }
-  return engines[mTried++ % engines.size()];
+  return engines[mProbeIndex++ % engines.size()];
 }
 
 bool
-EngineConnector::HasOther(const std::string& aEngine) const
+EngineConnector::HasOtherEngine(const std::string& aEngine) const
 {
   const std::vector<AttemptTarget> engines = mHooks.mEngines();
   return std::any_of(engines.begin(), engines.end(), [&aEngine](const AttemptTarget& aIt) {
@@ -141,61 +141,61 @@
 }
 
 void
-EngineConnector::Try(const AttemptTarget& aEngine,
-                     Duration aWithin,
-                     std::function<void(bool aStands)> aDone)
+EngineConnector::ProbeDirect(const AttemptTarget& aEngine,
+                             Duration aWithin,
+                             std::function<void(bool aConnected)> aDone)
 {
-  const auto trial = std::make_shared<Trial>(mContext, aEngine);
-  trial->mUntil = Now() + aWithin;
-  trial->mDone = std::move(aDone);
-  mTrials.push_back(trial);
-  mHooks.mDial(trial->mSocket, aEngine.mAddress, [this, trial](boost::system::error_code aError) {
-    if (!trial->mDone) {
+  const auto probe = std::make_shared<DirectProbe>(mContext, aEngine);
+  probe->mUntil = Now() + aWithin;
+  probe->mDone = std::move(aDone);
+  mProbes.push_back(probe);
+  mHooks.mDial(probe->mSocket, aEngine.mAddress, [this, probe](boost::system::error_code aError) {
+    if (!probe->mDone) {
       return;
     }
-    const auto done = std::exchange(trial->mDone, nullptr);
+    const auto done = std::exchange(probe->mDone, nullptr);
     if (!aError) {
-      OnConnected(trial->mEngine.mEngine);
-      Prepare(trial->mSocket);
-      mHooks.mKeep(trial->mEngine, { std::move(trial->mSocket), "", nullptr });
+      OnConnected(probe->mEngine.mEngine);
+      Prepare(probe->mSocket);
+      mHooks.mOnProbeConnected(probe->mEngine, { std::move(probe->mSocket), "", nullptr });
     }
     done(!aError);
   });
 }
 
 void
-EngineConnector::FindSight(const std::string& aEngine,
-                           TimePoint aSince,
-                           std::function<void(bool)> aDone)
+EngineConnector::CheckReachability(const std::string& aEngine,
+                                   TimePoint aSince,
+                                   std::function<void(bool)> aDone)
 {
-  if (mLastStood.OtherThan(aEngine) >= aSince) {
+  if (mLastConnected.OtherThan(aEngine) >= aSince) {
     aDone(true);
     return;
   }
-  const auto other = NextToTry({ aEngine });
+  const auto other = NextToProbe({ aEngine });
   if (!other) {
     aDone(false);
     return;
   }
-  Try(*other, mOptions.mTimeout, std::move(aDone));
+  ProbeDirect(*other, mOptions.mTimeout, std::move(aDone));
 }
 
 void
-EngineConnector::Look(const AttemptTarget& aEngine)
+EngineConnector::ProbeIfDue(const AttemptTarget& aEngine)
 {
-  Looked& looked = mLooked[aEngine.mEngine];
+  ProbeBackoff& backoff = mBackoffs[aEngine.mEngine];
   const TimePoint now = Now();
-  if (now < looked.mNext) {
+  if (now < backoff.mNext) {
     return;
   }
-  const bool lately = now - looked.mNext < mOptions.mMaxProbeInterval;
-  looked.mPause = lately && looked.mPause > Duration::zero()
-                    ? std::min(looked.mPause * 2, mOptions.mMaxProbeInterval)
-                    : mOptions.mProbeInterval;
-  looked.mNext = now + looked.mPause;
+  const bool lately = now - backoff.mNext < mOptions.mMaxProbeInterval;
+  backoff.mPause = lately && backoff.mPause > Duration::zero()
+                     ? std::min(backoff.mPause * 2, mOptions.mMaxProbeInterval)
+                     : mOptions.mProbeInterval;
+  backoff.mNext = now + backoff.mPause;
   Connect(aEngine, [this, aEngine](EngineConnection aConnection) {
     if (aConnection.mSocket) {
-      mHooks.mKeep(aEngine, std::move(*aConnection.mSocket));
+      mHooks.mOnProbeConnected(aEngine, std::move(*aConnection.mSocket));
     }
   });
 }
@@ -223,14 +223,14 @@
 EngineConnector::Forget(const std::string& aEngine)
 {
   mHeardOf.erase(aEngine);
-  mLooked.erase(aEngine);
+  mBackoffs.erase(aEngine);
 }
 
 void
 EngineConnector::OnConnected(const std::string& aEngine)
 {
   mHeardAt = Now();
-  mLastStood.Note(aEngine, mHeardAt);
+  mLastConnected.Note(aEngine, mHeardAt);
   mWays.OnConnected(aEngine, mHeardAt);
   TellAvoid();
 }
@@ -238,43 +238,43 @@
 void
 EngineConnector::OnPathFault(const std::string& aEngine, TimePoint aBegun)
 {
-  if (mFaultsLooked.count(aEngine) != 0) {
+  if (mPendingFaults.count(aEngine) != 0) {
     return;
   }
   if (Avoids() || mHeardAt >= aBegun) {
-    NotePathFault(aEngine, aBegun);
+    RecordPathFault(aEngine, aBegun);
     return;
   }
-  mFaultsLooked[aEngine] = aBegun;
+  mPendingFaults[aEngine] = aBegun;
   // An engine that is probed for another fault may have become unreachable itself.
-  mTriedForFaults.insert(aEngine);
-  for (std::size_t i = 0; i < kLooksAtFault; ++i) {
-    if (const auto other = NextToTry(mTriedForFaults)) {
-      mTriedForFaults.insert(other->mEngine);
-      ++mLooks;
-      Try(*other, mOptions.mPeerAfter, [this](bool /*aStands*/) {
-        if (--mLooks == 0) {
-          NoteLookedFaults();
+  mProbedForFaults.insert(aEngine);
+  for (std::size_t i = 0; i < kProbesPerFault; ++i) {
+    if (const auto other = NextToProbe(mProbedForFaults)) {
+      mProbedForFaults.insert(other->mEngine);
+      ++mFaultProbes;
+      ProbeDirect(*other, mOptions.mPeerAfter, [this](bool /*aConnected*/) {
+        if (--mFaultProbes == 0) {
+          RecordPendingFaults();
         }
       });
     }
   }
-  if (mLooks == 0) {
-    NoteLookedFaults(); // there was no other engine to probe
+  if (mFaultProbes == 0) {
+    RecordPendingFaults(); // there was no other engine to probe
   }
 }
 
 void
-EngineConnector::NoteLookedFaults()
+EngineConnector::RecordPendingFaults()
 {
-  mTriedForFaults.clear();
-  for (const auto& [engine, begun] : std::exchange(mFaultsLooked, {})) {
-    NotePathFault(engine, begun); // an answering engine has updated mHeardAt after `begun`
+  mProbedForFaults.clear();
+  for (const auto& [engine, begun] : std::exchange(mPendingFaults, {})) {
+    RecordPathFault(engine, begun); // an answering engine has updated mHeardAt after `begun`
   }
 }
 
 void
-EngineConnector::NotePathFault(const std::string& aEngine, TimePoint aBegun)
+EngineConnector::RecordPathFault(const std::string& aEngine, TimePoint aBegun)
 {
   mWays.OnPathFault(aEngine, aBegun, Now());
   TellAvoid();
--- a/src/pepperbay/relay/engine_connector.hpp
+++ b/src/pepperbay/relay/engine_connector.hpp
@@ -96,7 +96,7 @@
   /// A tunnel through a peer was established.
   std::function<void()> mOnCarried;
   /// A probe connection was established and may be used for requests.
-  std::function<void(const AttemptTarget&, EngineSocket)> mKeep;
+  std::function<void(const AttemptTarget&, EngineSocket)> mOnProbeConnected;
   DialFn mDial = &Dial;
   AskPeerFn mAskPeer = &OpenTunnel;
 };
@@ -131,7 +131,7 @@
   void OnHeard(const std::string& aEngine, const std::string& aPeer);
   /// Probes the path to an engine that should have written and has been silent for long, unless it
   /// was probed recently.
-  void Look(const AttemptTarget& aEngine);
+  void ProbeIfDue(const AttemptTarget& aEngine);
   /// Discards what is recorded about an engine that is no longer listed.
   void Forget(const std::string& aEngine);
   /// @return when bytes of this engine last arrived over a direct connection; the zero time for
@@ -139,7 +139,9 @@
   TimePoint HeardAt(const std::string& aEngine) const;
   /// Checks whether this node reaches any engine other than `aEngine`; see TunnelServerHooks. Only
   /// connections opened since `aSince` count: an older one may still work while new ones fail.
-  void FindSight(const std::string& aEngine, TimePoint aSince, std::function<void(bool)> aDone);
+  void CheckReachability(const std::string& aEngine,
+                         TimePoint aSince,
+                         std::function<void(bool)> aDone);
   /// Notes that a tunnel of a peer has been silent for long.
   void OnPeerSilent(const std::string& aPeer);
 
@@ -161,48 +163,50 @@
   TimePoint Now() const { return mHooks.mNow(); }
   void OnConnected(const std::string& aEngine);
   /// Other engines probed after a path fault. More than one, since one of them may pause as well.
-  static constexpr std::size_t kLooksAtFault = 2;
+  static constexpr std::size_t kProbesPerFault = 2;
 
   /// A peer has reached an engine that this node has not reached. Other engines are probed before
   /// the fault is recorded: this engine may only have paused.
   void OnPathFault(const std::string& aEngine, TimePoint aBegun);
-  void NotePathFault(const std::string& aEngine, TimePoint aBegun);
-  void NoteLookedFaults();
+  void RecordPathFault(const std::string& aEngine, TimePoint aBegun);
+  void RecordPendingFaults();
   void TellAvoid();
   /// Probes whether direct connections to engines work again.
-  void TryWay();
+  void ProbeDirectPath();
   /// Opens a direct connection to test the path.
-  void Try(const AttemptTarget& aEngine, Duration aWithin, std::function<void(bool aStands)> aDone);
+  void ProbeDirect(const AttemptTarget& aEngine,
+                   Duration aWithin,
+                   std::function<void(bool aConnected)> aDone);
   /// @return an engine to probe, in rotation; none if there is no other.
-  std::optional<AttemptTarget> NextToTry(const std::set<std::string>& aExcept);
+  std::optional<AttemptTarget> NextToProbe(const std::set<std::string>& aExcept);
   /// @return whether there is any engine other than this one.
-  bool HasOther(const std::string& aEngine) const;
+  bool HasOtherEngine(const std::string& aEngine) const;
 
-  struct Trial;
+  struct DirectProbe;
 
   boost::asio::io_context& mContext;
   EngineConnectorOptions mOptions;
   EngineConnectorHooks mHooks;
   WayBook mWays;
   ProxyChoice mPeers;
-  LastHeard mLastStood; ///< direct connections that were established, by engine
-  TimePoint mHeardAt{}; ///< last connect, or bytes of any engine, over a direct connection
+  LastHeard mLastConnected; ///< direct connections that were established, by engine
+  TimePoint mHeardAt{};     ///< last connect, or bytes of any engine, over a direct connection
   std::map<std::uint64_t, std::shared_ptr<Connecting>> mConnecting;
-  std::vector<std::shared_ptr<Trial>> mTrials;
+  std::vector<std::shared_ptr<DirectProbe>> mProbes;
   std::unordered_map<std::string, TimePoint> mHeardOf; ///< by engine, over direct connections
-  struct Looked
+  struct ProbeBackoff
   {
     TimePoint mNext{};
     Duration mPause{ 0 };
   };
-  std::unordered_map<std::string, Looked> mLooked; ///< by engine
+  std::unordered_map<std::string, ProbeBackoff> mBackoffs; ///< by engine
   std::uint64_t mLastId = 0;
-  std::size_t mTried = 0;
+  std::size_t mProbeIndex = 0;
   /// Engines with a path fault that waits for the probes of other engines, and when the connection
   /// to each was started.
-  std::map<std::string, TimePoint> mFaultsLooked;
-  std::set<std::string> mTriedForFaults; ///< these engines, and those that are probed for them
-  std::size_t mLooks = 0;                ///< pending probes for them
+  std::map<std::string, TimePoint> mPendingFaults;
+  std::set<std::string> mProbedForFaults; ///< these engines, and those that are probed for them
+  std::size_t mFaultProbes = 0;           ///< pending probes for them
   bool mToldAvoid = false;
 };
 
--- a/src/pepperbay/relay/relay.cpp
+++ b/src/pepperbay/relay/relay.cpp
@@ -71,7 +71,7 @@
     hooks.mOnHeard = [this](const std::string& aEngine) { mCore.mConnector.OnHeard(aEngine, ""); };
     hooks.mFindSight =
       [this](const std::string& aEngine, TimePoint aSince, std::function<void(bool)> aDone) {
-        mCore.mConnector.FindSight(aEngine, aSince, std::move(aDone));
+        mCore.mConnector.CheckReachability(aEngine, aSince, std::move(aDone));
       };
     hooks.mLog = [this](const char* aEvent, const std::map<std::string, std::string>& aFields) {
       mCore.Log(aEvent, aFields);
--- a/src/pepperbay/relay/relay_core.cpp
+++ b/src/pepperbay/relay/relay_core.cpp
@@ -89,7 +89,7 @@
                ConnectorOptionsOf(mOptions),
                { mOptions.mNow,
                  [this](bool aAvoids) { OnAvoid(aAvoids); },
-                 [this] { return EnginesToTry(); },
+                 [this] { return EnginesToProbe(); },
                  [this] { ++mCounters.mCarriedByPeers; },
                  [this](const AttemptTarget& aEngine, EngineSocket aSocket) {
                    mConnections.Put(aEngine.mEngine, std::move(aSocket), std::nullopt, 1);
@@ -322,7 +322,7 @@
 }
 
 std::vector<AttemptTarget>
-RelayCore::EnginesToTry() const
+RelayCore::EnginesToProbe() const
 {
   std::vector<AttemptTarget> engines;
   if (!mPlan) {
--- a/src/pepperbay/relay/relay_core.hpp
+++ b/src/pepperbay/relay/relay_core.hpp
@@ -58,7 +58,7 @@
   /// Bytes of the attempt's engine were received.
   void OnHeard(const Attempt& aAttempt);
   /// @return engines that may be connected to in order to test the network path.
-  std::vector<AttemptTarget> EnginesToTry() const;
+  std::vector<AttemptTarget> EnginesToProbe() const;
   /// An engine's rate limit, as known to this node, has changed.
   void OnLimit(const LimitNews& aNews);
   /// @return the rate limits in the answers of the current engine processes.
--- a/src/pepperbay/relay/relay_moves_fixture.hpp
+++ b/src/pepperbay/relay/relay_moves_fixture.hpp
@@ -32,8 +32,8 @@
   {
     return [this] {
       const std::lock_guard<std::mutex> lock(mMutex);
-      ++mLooks;
-      mLooked.notify_all();
+      ++mFaultProbes;
+      mBackoffs.notify_all();
       return mNow;
     };
   }
@@ -49,15 +49,15 @@
   {
     constexpr std::uint64_t kLooks = 60; // a tick looks at the clock some five times
     std::unique_lock<std::mutex> lock(mMutex);
-    const std::uint64_t enough = mLooks + kLooks;
-    mLooked.wait(lock, [&] { return mLooks >= enough; });
+    const std::uint64_t enough = mFaultProbes + kLooks;
+    mBackoffs.wait(lock, [&] { return mFaultProbes >= enough; });
   }
 
 private:
   std::mutex mMutex;
-  std::condition_variable mLooked;
+  std::condition_variable mBackoffs;
   TimePoint mNow = BootClock::now();
-  std::uint64_t mLooks = 0;
+  std::uint64_t mFaultProbes = 0;
 };
 
 class RelayMoves : public RelayTest
--- a/src/pepperbay/relay/silence_watch.cpp
+++ b/src/pepperbay/relay/silence_watch.cpp
@@ -24,7 +24,7 @@
     const TimePoint last =
       std::max(dispatch->mSentAt, connector.HeardAt(dispatch->mTarget.mEngine));
     if (now - last >= bound) {
-      connector.Look(dispatch->mTarget);
+      connector.ProbeIfDue(dispatch->mTarget);
     }
     if (all) {
       return; // one path is enough to tell whether this node is partitioned
