--- a/scripts/mutants/reach.sh
+++ b/scripts/mutants/reach.sh
@@ -50,7 +50,7 @@
 mutant "a peer that says nothing is asked again first" $s/relay/connecting.cpp \
   's/asked.mAt >= mConnector->mOptions.mPeerAfter/asked.mAt >= std::chrono::hours(1)/' relay_relay_peers_test '*frozen_reset*'
 mutant "three peers are asked and no more" $s/relay/connecting.cpp \
-  's/fails \&\& mFailingAsked >= /mAsked.size() >= /' relay_relay_peers_test '*gone_silent*'
+  's/fails \&\& mFailedPeersAsked >= /mAsked.size() >= /' relay_relay_peers_test '*gone_silent*'
 mutant "one more peer is asked at a time" $s/relay/connecting.cpp \
   's/kAskGrowth = 3;/kAskGrowth = 1;/' relay_connector_peers_test '*TheLastOfEight*'
 mutant "a fault at one engine is a cut" $s/relay/engine_connector.cpp \
@@ -58,7 +58,7 @@
 mutant "peers aside have no turn once all have failed" $s/reach/proxy_choice.cpp \
   's/      !fails \&\& it.mDataCentre/      it.mDataCentre/' reach_proxy_choice_test '*PeersAside*'
 mutant "peers that have failed take no part once three were asked" $s/relay/connecting.cpp \
-  's/fails \&\& mFailingAsked >= /fails \&\& mAsked.size() >= /' relay_connector_peers_test '*OneThatFailed*'
+  's/fails \&\& mFailedPeersAsked >= /fails \&\& mAsked.size() >= /' relay_connector_peers_test '*OneThatFailed*'
 mutant "what was heard before a failure is sight" $s/coordinator/engine_doubts.cpp \
   's/question.mUnansweredHere \&\& question.mSees/question.mUnansweredHere/' coordinator_coordinator_reach_test '*OneOther*'
 mutant "a kept connection is sight" $s/coordinator/coordinator_reach.cpp \
--- a/scripts/mutants/suspects.sh
+++ b/scripts/mutants/suspects.sh
@@ -62,6 +62,6 @@
 mutant "a head that has ended is not told to the holder" $relay/relay.cpp \
   's/  if \(head\) \{/  if (false) {/' relay_relay_suspects_test '*WithItsStreams*'
 mutant "a head that refuses connections is not told" $relay/exchange_suspect.cpp \
-  's/if \(aEnd.mGone \&\& .*/if (false) {/' relay_relay_suspects_test '*RefusesConnections*'
+  's/if \(aEnd.mNotListening \&\& .*/if (false) {/' relay_relay_suspects_test '*RefusesConnections*'
 mutant "what holds nothing back is passed on again and again" $coordinator/suspect_keeper.cpp \
   's/mBook.HeldUntil\(key\) > Now\(\) \? mOptions.mTellTimes : 1;/mOptions.mTellTimes;/' $suspects '*PassedOnOnce*'
--- a/src/pepperbay/relay/attempt.cpp
+++ b/src/pepperbay/relay/attempt.cpp
@@ -48,11 +48,11 @@
 void
 Attempt::Connect()
 {
-  mConnecting =
+  mConnectId =
     mConnector->Connect(mTarget, [self = shared_from_this()](EngineConnection aConnection) {
-      self->mConnecting = 0;
+      self->mConnectId = 0;
       if (!aConnection.mSocket) {
-        self->mGone = aConnection.mGone;
+        self->mNotListening = aConnection.mNotListening;
         self->Finish(false, aConnection.mWhy);
         return;
       }
@@ -173,8 +173,8 @@
 void
 Attempt::CloseConnection()
 {
-  if (mConnecting != 0) {
-    mConnector->Cancel(std::exchange(mConnecting, 0));
+  if (mConnectId != 0) {
+    mConnector->Cancel(std::exchange(mConnectId, 0));
   }
   if (mSocket) {
     CloseNow(mSocket->mSocket);
@@ -207,7 +207,7 @@
   end.mClosed = mClosed;
   end.mBadBytes = mBadBytes;
   end.mStale = mStale && mClosed;
-  end.mGone = mGone;
+  end.mNotListening = mNotListening;
   end.mWhy = aWhy;
   if (aComplete) {
     KeepConnection();
--- a/src/pepperbay/relay/attempt.hpp
+++ b/src/pepperbay/relay/attempt.hpp
@@ -38,8 +38,8 @@
   /// A pooled connection was closed without a byte of an answer. The engine may not have read the
   /// request, and may accept it on a new connection.
   bool mStale = false;
-  bool mGone = false; ///< no process listens at the engine's address, see EngineConnection
-  std::string mWhy;   ///< error; empty when complete
+  bool mNotListening = false; ///< no process listens at the engine's address, see EngineConnection
+  std::string mWhy;           ///< error; empty when complete
 };
 
 struct AttemptEvents
@@ -96,7 +96,7 @@
   ConnectionPool* mPool;
   AttemptTarget mTarget;
   AttemptEvents mEvents;
-  std::uint64_t mConnecting = 0; ///< ID of the pending connect; 0: none
+  std::uint64_t mConnectId = 0; ///< ID of the pending connect; 0: none
   std::optional<EngineSocket> mSocket;
   std::string mPeer;
   UpstreamRequest mRequest;
@@ -115,7 +115,7 @@
   bool mClosed = false;
   bool mBadBytes = false;
   bool mStale = false;
-  bool mGone = false;
+  bool mNotListening = false;
   bool mEnded = false;
 };
 
--- a/src/pepperbay/relay/connecting.cpp
+++ b/src/pepperbay/relay/connecting.cpp
@@ -13,41 +13,41 @@
 constexpr std::size_t kAskGrowth = 3;
 }
 
-Connecting::Connecting(EngineConnector* aConnector,
-                       AttemptTarget aEngine,
-                       EngineConnector::Done aDone)
+ConnectOperation::ConnectOperation(EngineConnector* aConnector,
+                                   AttemptTarget aEngine,
+                                   EngineConnector::Done aDone)
   : mConnector(aConnector)
   , mEngine(std::move(aEngine))
   , mDone(std::move(aDone))
-  , mBegun(aConnector->Now())
+  , mStartedAt(aConnector->Now())
   , mSocket(aConnector->mContext)
 {
 }
 
 void
-Connecting::Start()
+ConnectOperation::Start()
 {
-  mNextPeerAt = mBegun + mConnector->mOptions.mPeerAfter;
+  mNextPeerAt = mStartedAt + mConnector->mOptions.mPeerAfter;
   if (mConnector->WayTo(mEngine.mEngine) == Way::kDirect || !AskMorePeers()) {
-    BeginDirect();
+    StartDirect();
   }
 }
 
 void
-Connecting::BeginDirect()
+ConnectOperation::StartDirect()
 {
-  mDirect = Direct::kOnItsWay;
-  mDirectBegun = mConnector->Now();
+  mDirect = Direct::kPending;
+  mDirectStartedAt = mConnector->Now();
   mConnector->mHooks.mDial(
     mSocket, mEngine.mAddress, [self = shared_from_this()](boost::system::error_code aError) {
-      if (!self->Over()) {
+      if (!self->IsFinished()) {
         self->OnDirect(aError);
       }
     });
 }
 
 void
-Connecting::OnDirect(boost::system::error_code aError)
+ConnectOperation::OnDirect(boost::system::error_code aError)
 {
   if (!aError) {
     mConnector->OnConnected(mEngine.mEngine);
@@ -59,11 +59,11 @@
   }
   mDirect = FailureOf(aError);
   mWhy = "connect: " + aError.message();
-  OnWayFailed();
+  OnPathFailed();
 }
 
-Connecting::Direct
-Connecting::FailureOf(boost::system::error_code aError)
+ConnectOperation::Direct
+ConnectOperation::FailureOf(boost::system::error_code aError)
 {
   if (IsShortage(aError)) {
     return Direct::kNotTried;
@@ -72,7 +72,7 @@
 }
 
 bool
-Connecting::AskPeer()
+ConnectOperation::AskPeer()
 {
   const TimePoint now = mConnector->Now();
   const ProxyPeer* peer = mConnector->mPeers.Pick(mEngine.mDataCentre, mAsked, now);
@@ -80,10 +80,10 @@
     return false;
   }
   const bool fails = !mConnector->mPeers.Usable(peer->mNode, now);
-  if (fails && mFailingAsked >= mConnector->mOptions.mMaxFailedPeers) {
+  if (fails && mFailedPeersAsked >= mConnector->mOptions.mMaxFailedPeers) {
     return false;
   }
-  mFailingAsked += fails ? 1 : 0;
+  mFailedPeersAsked += fails ? 1 : 0;
   mAsked.insert(peer->mNode);
   mConnector->mPeers.OnAsked(peer->mNode);
   mNextPeerAt = now + mConnector->mOptions.mPeerAfter;
@@ -98,7 +98,7 @@
     mEngine.mAddress,
     request,
     [self = shared_from_this(), name = peer->mNode](OpenedTunnel aTunnel) {
-      if (!self->Over()) {
+      if (!self->IsFinished()) {
         self->OnPeer(name, std::move(aTunnel));
       }
     });
@@ -107,17 +107,18 @@
 }
 
 bool
-Connecting::AskMorePeers()
+ConnectOperation::AskMorePeers()
 {
   bool asked = false;
-  for (std::size_t n = std::exchange(mAskNext, mAskNext * kAskGrowth); n > 0 && AskPeer(); --n) {
+  for (std::size_t n = std::exchange(mPeersToAsk, mPeersToAsk * kAskGrowth); n > 0 && AskPeer();
+       --n) {
     asked = true;
   }
   return asked;
 }
 
 void
-Connecting::OnPeer(const std::string& aPeer, OpenedTunnel aTunnel)
+ConnectOperation::OnPeer(const std::string& aPeer, OpenedTunnel aTunnel)
 {
   mOpenings.erase(aPeer);
   const bool away = SaysEngineIsAway(aTunnel.mAnswer, aTunnel.mSight);
@@ -129,7 +130,7 @@
   }
   if (aTunnel.mSocket) {
     if (IsPathFault()) {
-      mConnector->OnPathFault(mEngine.mEngine, mDirectBegun);
+      mConnector->OnPathFault(mEngine.mEngine, mDirectStartedAt);
     } else {
       mConnector->mWays.OnReachedByPeer(mEngine.mEngine);
     }
@@ -140,76 +141,77 @@
     Finish(std::move(connection));
     return;
   }
-  mHeardOf += away ? 1 : 0;
+  mAwayReports += away ? 1 : 0;
   mRefusals += away && aTunnel.mAnswer == TunnelAnswer::kRefused ? 1 : 0;
-  OnWayFailed();
+  OnPathFailed();
 }
 
 bool
-Connecting::IsPathFault() const
+ConnectOperation::IsPathFault() const
 {
-  const bool hangs = mDirect == Direct::kOnItsWay &&
-                     mConnector->Now() - mDirectBegun >= mConnector->mOptions.mPeerAfter;
+  const bool hangs = mDirect == Direct::kPending &&
+                     mConnector->Now() - mDirectStartedAt >= mConnector->mOptions.mPeerAfter;
   return hangs || mDirect == Direct::kRefused || mDirect == Direct::kFailed;
 }
 
 void
-Connecting::OnWayFailed()
+ConnectOperation::OnPathFailed()
 {
   if (!mOpenings.empty()) {
     return; // a pending tunnel may still be established
   }
-  if (mDirect == Direct::kOnItsWay) {
+  if (mDirect == Direct::kPending) {
     AskPeer(); // the pending direct connection must not delay the next peer
     return;
   }
-  const bool decided = mDirect == Direct::kRefused ? mHeardOf >= 1 : mHeardOf >= 2;
+  const bool decided = mDirect == Direct::kRefused ? mAwayReports >= 1 : mAwayReports >= 2;
   if (!decided && AskPeer()) {
     return;
   }
-  if (mDirect == Direct::kNotBegun && mHeardOf == 0) {
-    BeginDirect();
+  if (mDirect == Direct::kNotStarted && mAwayReports == 0) {
+    StartDirect();
     return;
   }
-  OnNoWay();
+  OnNoPathLeft();
 }
 
 void
-Connecting::OnNoWay()
+ConnectOperation::OnNoPathLeft()
 {
   const bool here = mDirect == Direct::kRefused;
   const bool twoRefused = mRefusals + (here ? 1 : 0) >= 2;
-  if (twoRefused || !here || mHeardOf > 0 || mConnector->Avoids()) {
-    FinishUnconnected(twoRefused);
+  if (twoRefused || !here || mAwayReports > 0 || mConnector->Avoids()) {
+    FinishFailed(twoRefused);
     return;
   }
   // No second node can tell. If this node reaches other engines, it is not partitioned, and its own
   // refusal is enough.
   if (!mConnector->mPeers.Any() && !mConnector->HasOtherEngine(mEngine.mEngine)) {
-    FinishUnconnected(true);
+    FinishFailed(true);
     return;
   }
-  mConnector->CheckReachability(mEngine.mEngine, mBegun, [self = shared_from_this()](bool aSees) {
-    if (!self->Over()) {
-      self->FinishUnconnected(aSees);
-    }
-  });
+  mConnector->CheckReachability(
+    mEngine.mEngine, mStartedAt, [self = shared_from_this()](bool aSees) {
+      if (!self->IsFinished()) {
+        self->FinishFailed(aSees);
+      }
+    });
 }
 
 void
-Connecting::FinishUnconnected(bool aGone)
+ConnectOperation::FinishFailed(bool aNotListening)
 {
   EngineConnection connection;
-  connection.mGone = aGone;
+  connection.mNotListening = aNotListening;
   connection.mWhy = mWhy.empty() ? "connect: peers do not reach it" : mWhy;
   Finish(std::move(connection));
 }
 
 void
-Connecting::Tick()
+ConnectOperation::Tick()
 {
   const TimePoint now = mConnector->Now();
-  if (now >= mBegun + mConnector->mOptions.mTimeout) {
+  if (now >= mStartedAt + mConnector->mOptions.mTimeout) {
     EngineConnection connection;
     connection.mWhy = mWhy.empty() ? "connect: no answer" : mWhy;
     Finish(std::move(connection));
@@ -217,15 +219,15 @@
   }
   if (now >= mNextPeerAt) {
     const TimePoint next = mNextPeerAt + mConnector->mOptions.mPeerAfter;
-    if (!AskMorePeers() && mDirect == Direct::kNotBegun) {
-      BeginDirect();
+    if (!AskMorePeers() && mDirect == Direct::kNotStarted) {
+      StartDirect();
     }
     mNextPeerAt = next; // a late tick does not delay later steps
   }
 }
 
 void
-Connecting::Finish(EngineConnection aConnection)
+ConnectOperation::Finish(EngineConnection aConnection)
 {
   for (auto& [peer, asked] : std::exchange(mOpenings, {})) {
     asked.mCancel();
@@ -240,7 +242,7 @@
 }
 
 void
-Connecting::Cancel()
+ConnectOperation::Cancel()
 {
   mDone = nullptr;
   for (auto& [peer, asked] : std::exchange(mOpenings, {})) {
--- a/src/pepperbay/relay/connecting.hpp
+++ b/src/pepperbay/relay/connecting.hpp
@@ -6,27 +6,27 @@
 
 namespace pepperbay {
 
-class Connecting : public std::enable_shared_from_this<Connecting>
+class ConnectOperation : public std::enable_shared_from_this<ConnectOperation>
 {
 public:
-  Connecting(EngineConnector* aConnector, AttemptTarget aEngine, EngineConnector::Done aDone);
+  ConnectOperation(EngineConnector* aConnector, AttemptTarget aEngine, EngineConnector::Done aDone);
 
   void Start();
   void Tick();
   void Cancel();
-  bool Over() const { return mDone == nullptr; }
+  bool IsFinished() const { return mDone == nullptr; }
 
 private:
   enum class Direct
   {
-    kNotBegun,
-    kOnItsWay,
+    kNotStarted,
+    kPending,
     kRefused,
     kFailed,
     kNotTried, ///< this process lacked descriptors or the like; proves nothing about the engine
   };
 
-  void BeginDirect();
+  void StartDirect();
   void OnDirect(boost::system::error_code aError);
   static Direct FailureOf(boost::system::error_code aError);
   /// Asks the next peer for a tunnel. @return false if no peer is left to ask
@@ -36,10 +36,10 @@
   bool AskMorePeers();
   void OnPeer(const std::string& aPeer, OpenedTunnel aTunnel);
   /// Continues after the direct connection or a tunnel has failed: asks the next peer or finishes.
-  void OnWayFailed();
+  void OnPathFailed();
   /// No path is left: finishes, if necessary after a check whether this node reaches other engines.
-  void OnNoWay();
-  void FinishUnconnected(bool aGone);
+  void OnNoPathLeft();
+  void FinishFailed(bool aNotListening);
   /// Called when a peer reaches the engine. @return whether the direct connection has failed or is
   /// overdue
   bool IsPathFault() const;
@@ -48,11 +48,11 @@
   EngineConnector* mConnector;
   AttemptTarget mEngine;
   EngineConnector::Done mDone;
-  TimePoint mBegun{};
+  TimePoint mStartedAt{};
   TimePoint mNextPeerAt{};
-  std::size_t mAskNext = 1; ///< peers to ask in parallel at that time
-  Direct mDirect = Direct::kNotBegun;
-  TimePoint mDirectBegun{};
+  std::size_t mPeersToAsk = 1; ///< peers to ask in parallel at that time
+  Direct mDirect = Direct::kNotStarted;
+  TimePoint mDirectStartedAt{};
   std::string mWhy; ///< error of the direct connection
   Socket mSocket;
   struct AskedPeer
@@ -62,8 +62,8 @@
   };
   std::map<std::string, AskedPeer> mOpenings; ///< pending tunnels, by peer
   std::set<std::string> mAsked;               ///< peers asked so far
-  std::size_t mFailingAsked = 0;              ///< asked peers that had failed recently
-  int mHeardOf = 0;                           ///< peers that reach others, but not this engine
+  std::size_t mFailedPeersAsked = 0;          ///< asked peers that had failed recently
+  int mAwayReports = 0;                       ///< peers that reach others, but not this engine
   int mRefusals = 0;                          ///< of these, peers that the engine refused
 };
 
--- a/src/pepperbay/relay/ending_probe.cpp
+++ b/src/pepperbay/relay/ending_probe.cpp
@@ -53,7 +53,7 @@
   }
   const Pending pending = std::move(it->second);
   mPending.erase(it);
-  if (aConnection.mGone) {
+  if (aConnection.mNotListening) {
     mOnEnded(pending.mTarget, pending.mRequests);
   } else if (aConnection.mSocket) {
     if (aConnection.mSocket->mPeer.empty()) {
--- a/src/pepperbay/relay/engine_connector.cpp
+++ b/src/pepperbay/relay/engine_connector.cpp
@@ -51,23 +51,23 @@
 EngineConnector::Connect(const AttemptTarget& aEngine, Done aDone)
 {
   const std::uint64_t id = ++mLastId;
-  const auto connecting = std::make_shared<Connecting>(
+  const auto operation = std::make_shared<ConnectOperation>(
     this, aEngine, [this, id, done = std::move(aDone)](EngineConnection aConnection) {
-      mConnecting.erase(id);
+      mOperations.erase(id);
       done(std::move(aConnection));
     });
-  mConnecting[id] = connecting;
-  connecting->Start();
+  mOperations[id] = operation;
+  operation->Start();
   return id;
 }
 
 void
 EngineConnector::Cancel(std::uint64_t aId)
 {
-  const auto it = mConnecting.find(aId);
-  if (it != mConnecting.end()) {
+  const auto it = mOperations.find(aId);
+  if (it != mOperations.end()) {
     it->second->Cancel();
-    mConnecting.erase(it);
+    mOperations.erase(it);
   }
 }
 
@@ -76,12 +76,12 @@
 {
   const TimePoint now = Now();
   // Copies, since a finished connect removes itself from the map.
-  std::vector<std::shared_ptr<Connecting>> connecting;
-  for (const auto& [id, it] : mConnecting) {
-    connecting.push_back(it);
+  std::vector<std::shared_ptr<ConnectOperation>> operation;
+  for (const auto& [id, it] : mOperations) {
+    operation.push_back(it);
   }
-  for (const auto& it : connecting) {
-    if (!it->Over()) {
+  for (const auto& it : operation) {
+    if (!it->IsFinished()) {
       it->Tick();
     }
   }
--- a/src/pepperbay/relay/engine_connector.hpp
+++ b/src/pepperbay/relay/engine_connector.hpp
@@ -46,7 +46,7 @@
   std::optional<EngineSocket> mSocket;
   /// No process listens at the engine's address: two nodes that reach other engines were refused,
   /// or this one was if no second node can tell.
-  bool mGone = false;
+  bool mNotListening = false;
   std::string mWhy; ///< error; empty when connected
 };
 
@@ -101,7 +101,7 @@
   AskPeerFn mAskPeer = &OpenTunnel;
 };
 
-class Connecting;
+class ConnectOperation;
 
 /// @code
 /// const std::uint64_t id = connector.Connect(engine, [](EngineConnection aConnection) { ... });
@@ -158,7 +158,7 @@
   bool HasPeers() const { return mPeers.Any(); }
 
 private:
-  friend class Connecting;
+  friend class ConnectOperation;
 
   TimePoint Now() const { return mHooks.mNow(); }
   void OnConnected(const std::string& aEngine);
@@ -191,7 +191,7 @@
   ProxyChoice mPeers;
   LastHeard mLastConnected; ///< direct connections that were established, by engine
   TimePoint mHeardAt{};     ///< last connect, or bytes of any engine, over a direct connection
-  std::map<std::uint64_t, std::shared_ptr<Connecting>> mConnecting;
+  std::map<std::uint64_t, std::shared_ptr<ConnectOperation>> mOperations;
   std::vector<std::shared_ptr<DirectProbe>> mProbes;
   std::unordered_map<std::string, TimePoint> mHeardOf; ///< by engine, over direct connections
   struct ProbeBackoff
--- a/src/pepperbay/relay/exchange_suspect.cpp
+++ b/src/pepperbay/relay/exchange_suspect.cpp
@@ -91,7 +91,7 @@
   if (aEnd.mBadBytes) {
     NoteFailedOnce();
   }
-  if (aEnd.mGone && !aDispatch->mGroup.empty()) {
+  if (aEnd.mNotListening && !aDispatch->mGroup.empty()) {
     // Its registration expires only after seconds, and it has no stalled stream that could show it.
     mCore->OnHeadGone(aDispatch->mTarget.mEngine, aDispatch->mSentAt);
   }
