--- a/include/pepperbay/relay/relay.hpp
+++ b/include/pepperbay/relay/relay.hpp
@@ -103,7 +103,7 @@
   std::uint64_t mForeignAnswers = 0; ///< answers to another request; discarded
   /// Pooled connections that engines closed after a request was sent, without a byte of an answer.
   std::uint64_t mStaleConnections = 0;
-  std::uint64_t mEnginesEnded = 0; ///< engines that exited while they had requests of this node
+  std::uint64_t mEnginesExited = 0; ///< engines that exited while they had requests of this node
   /// Failed connection attempts to engines, by error.
   std::map<std::string, std::uint64_t> mConnectsFailed;
   TimePoint mEngineHeardAt{}; ///< last byte received from any engine over a direct connection
@@ -137,7 +137,7 @@
   /// A replica's head refuses requests or no longer listens. Rate-limited, see RefusalBook.
   std::function<void(const std::string& aHead)> mOnRefused;
   /// An engine exited while it had this request.
-  std::function<void(const RequestKey& aRequest, const EngineEnd& aEnd)> mOnEngineEnded;
+  std::function<void(const RequestKey& aRequest, const EngineEnd& aEnd)> mOnEngineExited;
   /// Direct connections from this node to engines work again, or have stopped working.
   std::function<void(bool aReaches)> mOnReach;
   /// An engine completed a request that the plan lists as a suspect.
--- a/scripts/mutants/parts.sh
+++ b/scripts/mutants/parts.sh
@@ -2,7 +2,7 @@
 # scripts/mutants.sh.
 # shellcheck shell=bash disable=SC2154
 mutant "parts are not charged" $s/relay/relay_core.cpp \
-  's/ChargeEnd\(mPartRuns, part.mKey, end\);/(void)part;/' relay_relay_suspects_test '*APartOfAPrompt*'
+  's/ChargeExit\(mPartRuns, part.mKey, end\);/(void)part;/' relay_relay_suspects_test '*APartOfAPrompt*'
 mutant "parts that ran are charged" $s/relay/relay_core.cpp \
   's/if \(!aRuns.HasRun\(aKey, Now\(\)\) \&\& /if (/' relay_relay_suspects_test '*APartThatHasJustRun*'
 mutant "the end of a connection clears parts" $s/relay/exchange_suspect.cpp \
--- a/scripts/mutants/suspects.sh
+++ b/scripts/mutants/suspects.sh
@@ -44,7 +44,7 @@
   's/return std::max\(after, HeldFor\(\)\);/return after;/' \
   relay_relay_suspects_test '*RefusedAtOnce*'
 mutant "a suspect goes to a second engine at once" $relay/exchange_suspect.cpp \
-  's/\(mBrokenOff \&\& .*\);/false;/' relay_relay_suspects_test '*NotSentToASecond*'
+  's/\(mInterrupted \&\& .*\);/false;/' relay_relay_suspects_test '*NotSentToASecond*'
 mutant "copies that have begun go on" $relay/exchange_ends.cpp \
   's/  if \(StopIfHeldBack\(\)\) \{/  if (false) {/' relay_relay_suspects_test '*IsStopped*'
 mutant "streams that run for long are cut" $relay/exchange_suspect.cpp \
--- a/src/pepperbay/edge/edge_metrics.cpp
+++ b/src/pepperbay/edge/edge_metrics.cpp
@@ -129,7 +129,7 @@
     Counter("undecided_engines_total", "Too few nodes had a word on them", control.mUndecided),
     Counter("asks_total", "Questions to engines", control.mAsks),
     Counters("orders_total", "Orders to engines", "order", control.mOrders),
-    Counter("engines_ended_total", "While they had requests of this node", relay.mEnginesEnded),
+    Counter("engines_ended_total", "While they had requests of this node", relay.mEnginesExited),
     Gauge("suspect_requests",
           "Under which engines have ended",
           static_cast<double>(control.mSuspectRequests)),
--- a/src/pepperbay/edge/edge_node.cpp
+++ b/src/pepperbay/edge/edge_node.cpp
@@ -303,7 +303,7 @@
     hooks.mOnRefused = [this](const std::string& aHead) {
       asio::post(mControl, [this, aHead] { mCoordinator->OnRefused(aHead); });
     };
-    hooks.mOnEngineEnded = [this](const RequestKey& aRequest, const EngineEnd& aEnd) {
+    hooks.mOnEngineExited = [this](const RequestKey& aRequest, const EngineEnd& aEnd) {
       asio::post(mControl, [this, aRequest, aEnd] { mCoordinator->OnEngineEnded(aRequest, aEnd); });
     };
     hooks.mOnRanWhole = [this](const RequestKey& aRequest) {
--- a/src/pepperbay/relay/ending_probe.cpp
+++ b/src/pepperbay/relay/ending_probe.cpp
@@ -4,26 +4,26 @@
 
 namespace pepperbay {
 
-EndingProbe::EndingProbe(EngineConnector* aConnector,
-                         NowFn aNow,
-                         ConnectionPool* aPool,
-                         OnFound aOnEnded,
-                         OnFound aOnAlive)
+ExitProbe::ExitProbe(EngineConnector* aConnector,
+                     NowFn aNow,
+                     ConnectionPool* aPool,
+                     OnFound aOnExited,
+                     OnFound aOnAlive)
   : mConnector(aConnector)
   , mNow(std::move(aNow))
   , mPool(aPool)
-  , mOnEnded(std::move(aOnEnded))
+  , mOnExited(std::move(aOnExited))
   , mOnAlive(std::move(aOnAlive))
 {
 }
 
 void
-EndingProbe::OnBrokenOff(const AttemptTarget& aEngine, BrokenOff aRequest)
+ExitProbe::OnInterrupted(const AttemptTarget& aEngine, InterruptedRequest aRequest)
 {
   Pending& pending = mPending[EngineStartHash(aEngine.mEngine, aEngine.mBorn)];
   if (pending.mRequests.empty()) {
     pending.mTarget = aEngine;
-    pending.mAskAt = mNow() + kAskAfter;
+    pending.mProbeAt = mNow() + kProbeDelay;
   }
   if (pending.mRequests.size() < kMaxPendingRequests) {
     pending.mRequests.push_back(std::move(aRequest));
@@ -31,12 +31,12 @@
 }
 
 void
-EndingProbe::Tick()
+ExitProbe::Tick()
 {
   const TimePoint now = mNow();
   for (auto& [engine, pending] : mPending) {
-    if (!pending.mAsked && now >= pending.mAskAt) {
-      pending.mAsked = true;
+    if (!pending.mProbed && now >= pending.mProbeAt) {
+      pending.mProbed = true;
       mConnector->Connect(pending.mTarget, [this, id = engine](EngineConnection aConnection) {
         OnAnswer(id, std::move(aConnection));
       });
@@ -45,7 +45,7 @@
 }
 
 void
-EndingProbe::OnAnswer(std::uint64_t aEngine, EngineConnection aConnection)
+ExitProbe::OnAnswer(std::uint64_t aEngine, EngineConnection aConnection)
 {
   const auto it = mPending.find(aEngine);
   if (it == mPending.end()) {
@@ -54,7 +54,7 @@
   const Pending pending = std::move(it->second);
   mPending.erase(it);
   if (aConnection.mNotListening) {
-    mOnEnded(pending.mTarget, pending.mRequests);
+    mOnExited(pending.mTarget, pending.mRequests);
   } else if (aConnection.mSocket) {
     if (aConnection.mSocket->mPeer.empty()) {
       mOnAlive(pending.mTarget, pending.mRequests);
--- a/src/pepperbay/relay/ending_probe.hpp
+++ b/src/pepperbay/relay/ending_probe.hpp
@@ -20,40 +20,40 @@
 namespace pepperbay {
 
 /// A request whose connection the engine closed before the answer was complete.
-struct BrokenOff
+struct InterruptedRequest
 {
   RequestKey mKey;
   std::string mRequest; ///< the caller's request ID, for the log
   std::vector<PromptPart> mParts;
   Suspicion mSuspicion = Suspicion::kPresent;
   TimePoint mAt{};
-  bool mOfReplica = false; ///< the engine was the head of a replica
-  bool mOnce = false;      ///< to a plain service, and must not run twice
+  bool mOfReplica = false;     ///< the engine was the head of a replica
+  bool mNonRepeatable = false; ///< to a plain service, and must not run twice
 };
 
-class EndingProbe
+class ExitProbe
 {
 public:
   /// An exiting process closes its connections and its listening socket within this time.
-  static constexpr std::chrono::milliseconds kAskAfter{ 10 };
+  static constexpr std::chrono::milliseconds kProbeDelay{ 10 };
   /// Limit on the requests that are kept for one engine until its state is known. More than an
   /// engine has slots.
   static constexpr std::size_t kMaxPendingRequests = 256;
 
-  using OnFound = std::function<void(const AttemptTarget&, const std::vector<BrokenOff>&)>;
+  using OnFound = std::function<void(const AttemptTarget&, const std::vector<InterruptedRequest>&)>;
 
   /// @param aPool receives the connections to engines that turn out to be alive
-  /// @param aOnEnded called when an engine has exited while it had these requests
+  /// @param aOnExited called when an engine has exited while it had these requests
   /// @param aOnAlive called when an engine that closed the connections of these requests is alive
   /// and reached directly, so that the network path was not at fault
-  EndingProbe(EngineConnector* aConnector,
-              NowFn aNow,
-              ConnectionPool* aPool,
-              OnFound aOnEnded,
-              OnFound aOnAlive);
+  ExitProbe(EngineConnector* aConnector,
+            NowFn aNow,
+            ConnectionPool* aPool,
+            OnFound aOnExited,
+            OnFound aOnAlive);
 
   /// Notes that an engine closed a request's connection before the answer was complete.
-  void OnBrokenOff(const AttemptTarget& aEngine, BrokenOff aRequest);
+  void OnInterrupted(const AttemptTarget& aEngine, InterruptedRequest aRequest);
   /// Connects to the engines whose check is due.
   void Tick();
 
@@ -62,9 +62,9 @@
   struct Pending
   {
     AttemptTarget mTarget;
-    std::vector<BrokenOff> mRequests;
-    TimePoint mAskAt{};
-    bool mAsked = false;
+    std::vector<InterruptedRequest> mRequests;
+    TimePoint mProbeAt{};
+    bool mProbed = false;
   };
 
   void OnAnswer(std::uint64_t aEngine, EngineConnection aConnection);
@@ -72,7 +72,7 @@
   EngineConnector* mConnector;
   NowFn mNow;
   ConnectionPool* mPool;
-  OnFound mOnEnded;
+  OnFound mOnExited;
   OnFound mOnAlive;
   std::map<std::uint64_t, Pending> mPending; ///< by EngineStartHash()
 };
--- a/src/pepperbay/relay/exchange.cpp
+++ b/src/pepperbay/relay/exchange.cpp
@@ -190,7 +190,7 @@
     if (facts.mNotRun) {
       mAsked.OnNotTaken(mCurrent.mTarget.mEngine);
     } else {
-      NoteFailedOnce();
+      NoteNonRepeatableFailure();
     }
     OnFailure(fault, !facts.mNotRun);
     return;
@@ -231,7 +231,7 @@
   }
   mBody.append(aBytes);
   if (!CountKept()) {
-    NoteFailedOnce();
+    NoteNonRepeatableFailure();
     OnFailure("answer_too_long", true);
     return;
   }
@@ -387,7 +387,7 @@
   if (mStatus < kServerFailure) {
     NoteRan(aSaidWhole);
   } else {
-    NoteFailedOnce();
+    NoteNonRepeatableFailure();
   }
   mCore->mCounters.mWholeAnswer.Observe(mCore->Now() - mArrived);
   ++mCore->mCounters.mAnswered;
@@ -396,7 +396,7 @@
 }
 
 void
-Exchange::NoteFailedOnce()
+Exchange::NoteNonRepeatableFailure()
 {
   if (!mService->mPool && !mRoute->Repeatable()) {
     mCore->mBalancer.Failures().OnFailed(mCurrent.mTarget.mEngine, mCore->Now());
--- a/src/pepperbay/relay/exchange.hpp
+++ b/src/pepperbay/relay/exchange.hpp
@@ -63,7 +63,7 @@
 struct StaleConnection
 {
   AttemptTarget mTarget;
-  BrokenOff mRequest; ///< reported if the engine has exited
+  InterruptedRequest mRequest; ///< reported if the engine has exited
 };
 
 /// A retry that is waiting until an engine can take the request.
@@ -225,7 +225,7 @@
   /// they made it exit.
   void NoteRunsOn();
   /// @return the record of the request to report if the engine of a dispatch has just exited.
-  BrokenOff BrokenOffAt(const EngineDispatch& aDispatch) const;
+  InterruptedRequest InterruptedAt(const EngineDispatch& aDispatch) const;
   /// A dispatch has failed: notes what that shows about its engine and about the request.
   void NoteEnd(EngineDispatch* aDispatch, const AttemptEnd& aEnd);
   /// A dispatch's pooled connection was closed without a byte of an answer.
@@ -243,7 +243,7 @@
   /// The current attempt has failed.
   void OnFailure(const std::string& aWhy, bool aMayHaveRun);
   /// Notes that the engine has failed a request that must not run twice.
-  void NoteFailedOnce();
+  void NoteNonRepeatableFailure();
   void DropAttempt();
   /// Closes a dispatch's connection, so that its engine stops, and releases what is counted for it.
   void Drop(EngineDispatch* aDispatch);
@@ -330,7 +330,7 @@
   int mConnectFailures = 0;
   Duration mLimitedFor{ 0 }; ///< time until engines with free slots are below their rate limit
   bool mAllFull = false;     ///< all replicas were at capacity when a slot was requested
-  bool mBrokenOff = false;   ///< an engine closed the connection during the request
+  bool mInterrupted = false; ///< an engine closed the connection during the request
   bool mMayHaveRun = false;
 
   int mStatus = 0;
--- a/src/pepperbay/relay/exchange_ends.cpp
+++ b/src/pepperbay/relay/exchange_ends.cpp
@@ -309,7 +309,7 @@
   mPendingRetry.reset();
   if (mStale) {
     // No other connection has shown whether this engine has exited.
-    mCore->mEndings.OnBrokenOff(mStale->mTarget, mStale->mRequest);
+    mCore->mExitProbe.OnInterrupted(mStale->mTarget, mStale->mRequest);
   }
   if (mCurrent.mAttempt) {
     // The answer was complete; only the counts have to be released.
--- a/src/pepperbay/relay/exchange_suspect.cpp
+++ b/src/pepperbay/relay/exchange_suspect.cpp
@@ -40,7 +40,7 @@
 {
   // If an engine has exited during this request before and the connection was closed just now, this
   // engine may have exited as well. That is known only after a second engine would be used.
-  return HeldFor() > Duration::zero() || (mBrokenOff && Suspected().mScore > 0);
+  return HeldFor() > Duration::zero() || (mInterrupted && Suspected().mScore > 0);
 }
 
 void
@@ -63,8 +63,8 @@
   }
 }
 
-BrokenOff
-Exchange::BrokenOffAt(const EngineDispatch& aDispatch) const
+InterruptedRequest
+Exchange::InterruptedAt(const EngineDispatch& aDispatch) const
 {
   const TimePoint now = mCore->Now();
   // An engine of a pool begins its answer when it starts to run the request; other engines answer
@@ -84,12 +84,12 @@
     return;
   }
   if (aEnd.mClosed) {
-    mBrokenOff = true;
+    mInterrupted = true;
     mAvoidsKept = true; // the same fault may have closed pooled connections
-    mCore->mEndings.OnBrokenOff(aDispatch->mTarget, BrokenOffAt(*aDispatch));
+    mCore->mExitProbe.OnInterrupted(aDispatch->mTarget, InterruptedAt(*aDispatch));
   }
   if (aEnd.mBadBytes) {
-    NoteFailedOnce();
+    NoteNonRepeatableFailure();
   }
   if (aEnd.mNotListening && !aDispatch->mGroup.empty()) {
     // Its registration expires only after seconds, and it has no stalled stream that could show it.
@@ -106,9 +106,9 @@
   mTried.erase(aDispatch->mTarget.mEngine);
   mAsked.OnNotTaken(aDispatch->mTarget.mEngine);
   if (Suspected().mScore > 0) {
-    mBrokenOff = true; // an exiting engine closes pooled connections as well
+    mInterrupted = true; // an exiting engine closes pooled connections as well
   }
-  mStale = StaleConnection{ aDispatch->mTarget, BrokenOffAt(*aDispatch) };
+  mStale = StaleConnection{ aDispatch->mTarget, InterruptedAt(*aDispatch) };
 }
 
 void
@@ -121,7 +121,7 @@
   }
   const StaleConnection stale = *std::exchange(mStale, std::nullopt);
   if (!aReached) {
-    mCore->mEndings.OnBrokenOff(stale.mTarget, stale.mRequest);
+    mCore->mExitProbe.OnInterrupted(stale.mTarget, stale.mRequest);
   }
 }
 
@@ -129,8 +129,8 @@
 Exchange::NoteRestarted(const EngineDispatch& aDispatch)
 {
   if (aDispatch.mAttempt->MayHaveRun()) {
-    mBrokenOff = true;
-    mCore->OnEngineEnded(aDispatch.mTarget, { BrokenOffAt(aDispatch) });
+    mInterrupted = true;
+    mCore->OnEngineExited(aDispatch.mTarget, { InterruptedAt(aDispatch) });
   }
 }
 
--- a/src/pepperbay/relay/relay.cpp
+++ b/src/pepperbay/relay/relay.cpp
@@ -179,7 +179,7 @@
     mCore.mPlaces.Tick();
     mCore.mRetries.Tick();
     mCore.mConnector.Tick();
-    mCore.mEndings.Tick();
+    mCore.mExitProbe.Tick();
     mSilence.Tick();
     if (mTunnels) {
       mTunnels->Tick();
--- a/src/pepperbay/relay/relay_core.cpp
+++ b/src/pepperbay/relay/relay_core.cpp
@@ -94,15 +94,15 @@
                  [this](const AttemptTarget& aEngine, EngineSocket aSocket) {
                    mConnections.Put(aEngine.mEngine, std::move(aSocket), std::nullopt, 1);
                  } })
-  , mEndings(
+  , mExitProbe(
       &mConnector,
       mOptions.mNow,
       &mConnections,
-      [this](const AttemptTarget& aEngine, const std::vector<BrokenOff>& aRequests) {
-        OnEngineEnded(aEngine, aRequests);
+      [this](const AttemptTarget& aEngine, const std::vector<InterruptedRequest>& aRequests) {
+        OnEngineExited(aEngine, aRequests);
       },
-      [this](const AttemptTarget& aEngine, const std::vector<BrokenOff>& aRequests) {
-        OnBrokenOffAlive(aEngine, aRequests);
+      [this](const AttemptTarget& aEngine, const std::vector<InterruptedRequest>& aRequests) {
+        OnInterruptedAlive(aEngine, aRequests);
       })
 {
 }
@@ -220,12 +220,14 @@
 }
 
 void
-RelayCore::OnEngineEnded(const AttemptTarget& aEngine, const std::vector<BrokenOff>& aRequests)
+RelayCore::OnEngineExited(const AttemptTarget& aEngine,
+                          const std::vector<InterruptedRequest>& aRequests)
 {
-  ++mCounters.mEnginesEnded;
+  ++mCounters.mEnginesExited;
   const std::uint64_t start = EngineStartHash(aEngine.mEngine, aEngine.mBorn);
-  const bool head = std::any_of(
-    aRequests.begin(), aRequests.end(), [](const BrokenOff& aIt) { return aIt.mOfReplica; });
+  const bool head = std::any_of(aRequests.begin(),
+                                aRequests.end(),
+                                [](const InterruptedRequest& aIt) { return aIt.mOfReplica; });
   if (head) {
     OnHeadGone(aEngine.mEngine, aRequests.front().mAt);
   }
@@ -240,26 +242,27 @@
           { "ran_before", ran ? "true" : "false" },
           { "age_ms", std::to_string(ToMs(Now() - it.mAt).count()) } });
     const EngineEnd end{ start, it.mSuspicion, it.mAt };
-    ChargeEnd(mRuns, it.mKey, end);
+    ChargeExit(mRuns, it.mKey, end);
     for (const auto& part : it.mParts) {
-      ChargeEnd(mPartRuns, part.mKey, end);
+      ChargeExit(mPartRuns, part.mKey, end);
     }
   }
 }
 
 void
-RelayCore::ChargeEnd(const RecentRuns& aRuns, const RequestKey& aKey, const EngineEnd& aEnd)
+RelayCore::ChargeExit(const RecentRuns& aRuns, const RequestKey& aKey, const EngineEnd& aEnd)
 {
-  if (!aRuns.HasRun(aKey, Now()) && mHooks.mOnEngineEnded) {
-    mHooks.mOnEngineEnded(aKey, aEnd);
+  if (!aRuns.HasRun(aKey, Now()) && mHooks.mOnEngineExited) {
+    mHooks.mOnEngineExited(aKey, aEnd);
   }
 }
 
 void
-RelayCore::OnBrokenOffAlive(const AttemptTarget& aEngine, const std::vector<BrokenOff>& aRequests)
+RelayCore::OnInterruptedAlive(const AttemptTarget& aEngine,
+                              const std::vector<InterruptedRequest>& aRequests)
 {
-  const bool once =
-    std::any_of(aRequests.begin(), aRequests.end(), [](const auto& aIt) { return aIt.mOnce; });
+  const bool once = std::any_of(
+    aRequests.begin(), aRequests.end(), [](const auto& aIt) { return aIt.mNonRepeatable; });
   if (once) {
     mBalancer.Failures().OnFailed(aEngine.mEngine, Now());
   }
--- a/src/pepperbay/relay/relay_core.hpp
+++ b/src/pepperbay/relay/relay_core.hpp
@@ -3,8 +3,8 @@
 #pragma once
 
 #include "connection_pool.hpp"
-#include "ending_probe.hpp"
 #include "engine_connector.hpp"
+#include "ending_probe.hpp"
 #include "pepperbay/quarantine/recent_runs.hpp"
 #include "pepperbay/relay/relay.hpp"
 #include "pepperbay/retries/retry_agent.hpp"
@@ -41,15 +41,17 @@
   void TellRan(const RequestKey& aKey);
   /// Counts an engine's exit against a request or prompt part that it had, unless that was
   /// completed recently.
-  void ChargeEnd(const RecentRuns& aRuns, const RequestKey& aKey, const EngineEnd& aEnd);
+  void ChargeExit(const RecentRuns& aRuns, const RequestKey& aKey, const EngineEnd& aEnd);
   /// Clears the suspects that were recently completed at this node. Other nodes have seen only the
   /// exits.
   void ClearThoseThatRan(const SuspectRequests& aSuspects);
   /// An engine exited while it had requests of this node.
-  void OnEngineEnded(const AttemptTarget& aEngine, const std::vector<BrokenOff>& aRequests);
+  void OnEngineExited(const AttemptTarget& aEngine,
+                      const std::vector<InterruptedRequest>& aRequests);
   /// An engine that is alive closed the connections of requests, so it counts as failing them. Only
   /// this case is reported: a network partition breaks connections to all engines at once.
-  void OnBrokenOffAlive(const AttemptTarget& aEngine, const std::vector<BrokenOff>& aRequests);
+  void OnInterruptedAlive(const AttemptTarget& aEngine,
+                          const std::vector<InterruptedRequest>& aRequests);
   /// A replica's head no longer listens: the coordinator is to check its members.
   /// @param aAsOf when the attempt that showed it was started
   void OnHeadGone(const std::string& aHead, TimePoint aAsOf);
@@ -77,7 +79,7 @@
   RetryAgent mRetries;    ///< retry budget of plain services; slots are requested through mPlaces
   ConnectionPool mConnections;
   EngineConnector mConnector;
-  EndingProbe mEndings;
+  ExitProbe mExitProbe;
   RecentRuns mRuns;
   RecentRuns mPartRuns; ///< prompt parts; in mRuns the more numerous requests would evict them
   RelayCounters mCounters;
--- a/src/pepperbay/relay/relay_fixture.hpp
+++ b/src/pepperbay/relay/relay_fixture.hpp
@@ -100,7 +100,7 @@
     mAddress = aOptions.mCallers;
     RelayHooks hooks;
     hooks.mOnSuspect = [this](const std::string&, Duration) { ++mSuspects; };
-    hooks.mOnEngineEnded = [this](const RequestKey& aRequest, const EngineEnd& aEnd) {
+    hooks.mOnEngineExited = [this](const RequestKey& aRequest, const EngineEnd& aEnd) {
       const std::lock_guard<std::mutex> lock(mEndsMutex);
       mEnds.push_back({ aRequest, aEnd });
       mEndsChanged.notify_all();
--- a/src/pepperbay/relay/relay_reach_test.cpp
+++ b/src/pepperbay/relay/relay_reach_test.cpp
@@ -84,7 +84,7 @@
   CutWhileThreeRun(begun);
   EXPECT_EQ(Served(3), 9);
   ends.set_value();
-  EXPECT_EQ(Counters().mEnginesEnded, 0U);
+  EXPECT_EQ(Counters().mEnginesExited, 0U);
   EXPECT_EQ(mRefusals, 0);
   EXPECT_TRUE(mEnds.empty());
 }
@@ -284,7 +284,7 @@
   EXPECT_TRUE(Has(answer, "Retry-After: "));
   EXPECT_EQ(Requests(), 0);
   EXPECT_EQ(mPeer.Carried().mAnswers["open"], 0U) << "no second hop";
-  EXPECT_EQ(Counters().mEnginesEnded, 0U);
+  EXPECT_EQ(Counters().mEnginesExited, 0U);
 }
 
 /// Guards against a node that goes on through peers once its own connections stand again.
--- a/src/pepperbay/relay/relay_sight_test.cpp
+++ b/src/pepperbay/relay/relay_sight_test.cpp
@@ -130,7 +130,7 @@
     std::this_thread::yield(); // the peer is asked for the engine that broke the request off
   }
   EXPECT_EQ(AskOnce(), 503) << "refused here as well, which the peer's answer goes before";
-  EXPECT_EQ(Counters().mEnginesEnded, 0U);
+  EXPECT_EQ(Counters().mEnginesExited, 0U);
   EXPECT_TRUE(mEnds.empty());
 }
 
--- a/src/pepperbay/relay/relay_suspects_test.cpp
+++ b/src/pepperbay/relay/relay_suspects_test.cpp
@@ -180,7 +180,7 @@
   ASSERT_GT(engine.Connections(), engine.Requests()) << "it is connected to once more";
   EXPECT_EQ(StatusOf(AskStream()), 502); // by now the relay has seen that connection
   EXPECT_TRUE(WaitForEnds(0).empty());
-  EXPECT_EQ(Counters().mEnginesEnded, 0U);
+  EXPECT_EQ(Counters().mEnginesExited, 0U);
 }
 
 /// Each node would send it on, and each time an engine would end.
