--- a/include/pepperbay/relay/relay.hpp
+++ b/include/pepperbay/relay/relay.hpp
@@ -141,7 +141,7 @@
   /// Direct connections from this node to engines work again, or have stopped working.
   std::function<void(bool aReaches)> mOnReach;
   /// An engine completed a request that the plan lists as a suspect.
-  std::function<void(const RequestKey& aRequest)> mOnRanWhole;
+  std::function<void(const RequestKey& aRequest)> mOnSuspectCompleted;
   /// Sends a message to another node's place agent; null where there are no other nodes.
   std::function<void(const std::string& aAddress, const std::string& aBytes)> mSendToDesk;
   /// Writes a log line; see log.hpp.
--- a/scripts/mutants/parts.sh
+++ b/scripts/mutants/parts.sh
@@ -6,11 +6,11 @@
 mutant "parts that ran are charged" $s/relay/relay_core.cpp \
   's/if \(!aRuns.HasRun\(aKey, Now\(\)\) \&\& /if (/' relay_relay_suspects_test '*APartThatHasJustRun*'
 mutant "the end of a connection clears parts" $s/relay/exchange_suspect.cpp \
-  's/if \(aSaidWhole \&\& /if (/' relay_relay_suspects_test '*ClearsNoPart*'
+  's/if \(aExplicitEnd \&\& /if (/' relay_relay_suspects_test '*ClearsNoPart*'
 mutant "parts hold nothing back" $s/relay/exchange_suspect.cpp \
   's/suspected.mHeldUntil = .*/(void)part;/' relay_relay_suspects_test '*WithAPartThatIsHeldBack*'
 mutant "what runs on clears no part" $s/relay/exchange_suspect.cpp \
-  's/mCore->OnPartsRan\(mParts\);/;/' relay_relay_suspects_test '*RunsOn*:*ClearsNoPart*'
+  's/mCore->OnPartsCompleted\(mParts\);/;/' relay_relay_suspects_test '*RunsOn*:*ClearsNoPart*'
 mutant "ends of a cause are charged to bystanders" $s/quarantine/crash_book.cpp \
   's/charge \+= another \? 0 : /(void)another; charge += /' quarantine_crash_book_test '*Bystander*'
 mutant "of equal causes one excuses the other" $s/quarantine/crash_book.cpp \
--- a/scripts/mutants/suspects.sh
+++ b/scripts/mutants/suspects.sh
@@ -39,18 +39,18 @@
 mutant "what waited counts as begun" $relay/exchange_suspect.cpp \
   's/begun \? Suspicion::kBegun : Suspicion::kPresent/Suspicion::kBegun/' relay_relay_suspects_test '*IsSuspectedLess*'
 mutant "held back requests are sent" $relay/exchange.cpp \
-  's/  if \(IsHeldBack\(\)\) \{/  if (false) {/' relay_relay_suspects_test '*RefusedAtOnce*'
+  's/  if \(IsQuarantined\(\)\) \{/  if (false) {/' relay_relay_suspects_test '*RefusedAtOnce*'
 mutant "a refusal names the usual time" $relay/exchange_ends.cpp \
-  's/return std::max\(after, HeldFor\(\)\);/return after;/' \
+  's/return std::max\(after, QuarantineTimeLeft\(\)\);/return after;/' \
   relay_relay_suspects_test '*RefusedAtOnce*'
 mutant "a suspect goes to a second engine at once" $relay/exchange_suspect.cpp \
   's/\(mInterrupted \&\& .*\);/false;/' relay_relay_suspects_test '*NotSentToASecond*'
 mutant "copies that have begun go on" $relay/exchange_ends.cpp \
-  's/  if \(StopIfHeldBack\(\)\) \{/  if (false) {/' relay_relay_suspects_test '*IsStopped*'
+  's/  if \(StopIfQuarantined\(\)\) \{/  if (false) {/' relay_relay_suspects_test '*IsStopped*'
 mutant "streams that run for long are cut" $relay/exchange_suspect.cpp \
   's/if \(proven \|\| mHedge\)/if (mHedge)/' relay_relay_suspects_test '*RunsForLong*'
 mutant "a run to the end is not noted" $relay/relay.cpp \
-  's/    mHooks.mOnRanWhole\(aKey\);/    ;/' relay_relay_suspects_test '*TimeIsOver*'
+  's/    mHooks.mOnSuspectCompleted\(aKey\);/    ;/' relay_relay_suspects_test '*TimeIsOver*'
 mutant "what ran lately is suspected" $relay/relay.cpp \
   's/if \(!ran \&\& /if (/' relay_relay_suspects_test '*HasJustRunToItsEndIsNot*'
 mutant "what ran lately is not cleared" $relay/relay.cpp \
--- a/src/pepperbay/edge/edge_node.cpp
+++ b/src/pepperbay/edge/edge_node.cpp
@@ -306,7 +306,7 @@
     hooks.mOnEngineExited = [this](const RequestKey& aRequest, const EngineEnd& aEnd) {
       asio::post(mControl, [this, aRequest, aEnd] { mCoordinator->OnEngineEnded(aRequest, aEnd); });
     };
-    hooks.mOnRanWhole = [this](const RequestKey& aRequest) {
+    hooks.mOnSuspectCompleted = [this](const RequestKey& aRequest) {
       asio::post(mControl, [this, aRequest] { mCoordinator->OnRanWhole(aRequest); });
     };
     if (!mSettings.mDesk.empty()) {
--- a/src/pepperbay/relay/exchange.cpp
+++ b/src/pepperbay/relay/exchange.cpp
@@ -81,8 +81,8 @@
   for (const auto& it : mFacts.mPromptParts) {
     mParts.push_back({ it, KeyOfPromptPart(mCustomer, mService->mName, it) });
   }
-  if (IsHeldBack()) {
-    RefuseHeldBack();
+  if (IsQuarantined()) {
+    RefuseQuarantined();
     return;
   }
   if (!mService->mPool) {
@@ -285,7 +285,7 @@
   }
   mCurrent.mLastEventAt = now;
   mPassedAt = now;
-  NoteRunsOn();
+  NoteLongRun();
   if (!mStreamStarted) {
     mCore->mCounters.mFirstEvent.Observe(now - mArrived);
     mStreamStarted = true;
@@ -347,7 +347,7 @@
     return;
   }
   mCore->mBalancer.OnAnswer(mCurrent.mTarget.mEngine);
-  NoteRan(!aEnd.mByClose);
+  NoteCompleted(!aEnd.mByClose);
   ++mCore->mCounters.mAnswered;
   if (!mStreamStarted) {
     // A stream without any event is complete when it ends.
@@ -360,7 +360,7 @@
 }
 
 void
-Exchange::OnWholeAnswer(bool aSaidWhole)
+Exchange::OnWholeAnswer(bool aExplicitEnd)
 {
   CallerAnswer answer;
   static_cast<HeaderFields&>(answer.base()) = mFields;
@@ -385,7 +385,7 @@
   }
   mCore->mBalancer.OnAnswer(mCurrent.mTarget.mEngine);
   if (mStatus < kServerFailure) {
-    NoteRan(aSaidWhole);
+    NoteCompleted(aExplicitEnd);
   } else {
     NoteNonRepeatableFailure();
   }
--- a/src/pepperbay/relay/exchange.hpp
+++ b/src/pepperbay/relay/exchange.hpp
@@ -55,7 +55,7 @@
   bool mRepeats = false; ///< repeats a dispatch to this engine that failed on a stale connection
   bool mStale = false;   ///< sent on a pooled connection that was closed without an answer
   bool mFailed = false;  ///< the dispatch has failed
-  bool mRunsOn = false;  ///< noted as running too long to be the cause of an exit
+  bool mLongRunNoted = false; ///< noted as running too long to be the cause of an exit
 };
 
 /// A pooled connection that was closed after a request was sent. The engine may be alive and not
@@ -200,8 +200,8 @@
   void TakeHead(int aStatus, const HeaderFields& aFields, const AnswerFacts& aFacts);
   void OnBody(std::string_view aBytes);
   void OnEnd(const AttemptEnd& aEnd);
-  /// @param aSaidWhole see NoteRan()
-  void OnWholeAnswer(bool aSaidWhole);
+  /// @param aExplicitEnd see NoteCompleted()
+  void OnWholeAnswer(bool aExplicitEnd);
   void PassEvents(std::string_view aBytes);
   /// Updates the count of buffered bytes. @return whether they are within the limits
   bool CountKept();
@@ -216,14 +216,14 @@
   /// quarantine, and the highest score.
   SuspectRequest Suspected() const;
   /// @return whether the request is quarantined: too many engines have exited while they ran it.
-  bool IsHeldBack() const;
+  bool IsQuarantined() const;
   /// Notes that an engine completed the request.
-  /// @param aSaidWhole the answer has an explicit end; if only the end of the connection marks it,
-  /// an engine that exited looks the same
-  void NoteRan(bool aSaidWhole);
+  /// @param aExplicitEnd the answer has an explicit end; if only the end of the connection marks
+  /// it, an engine that exited looks the same
+  void NoteCompleted(bool aExplicitEnd);
   /// Clears the request's prompt parts once the engine has streamed for longer than it would if
   /// they made it exit.
-  void NoteRunsOn();
+  void NoteLongRun();
   /// @return the record of the request to report if the engine of a dispatch has just exited.
   InterruptedRequest InterruptedAt(const EngineDispatch& aDispatch) const;
   /// A dispatch has failed: notes what that shows about its engine and about the request.
@@ -236,9 +236,9 @@
   void NoteRestarted(const EngineDispatch& aDispatch);
   /// Aborts a request that an engine has only just begun, if it is quarantined by now.
   /// @return whether the request is finished
-  bool StopIfHeldBack();
+  bool StopIfQuarantined();
   /// @return time until the request may run again; zero: it may run now.
-  Duration HeldFor() const;
+  Duration QuarantineTimeLeft() const;
 
   /// The current attempt has failed.
   void OnFailure(const std::string& aWhy, bool aMayHaveRun);
@@ -290,7 +290,7 @@
   /// @return the Retry-After time for a refused caller.
   Duration RetryAfter() const;
   void Refuse(const std::string& aReason);
-  void RefuseHeldBack();
+  void RefuseQuarantined();
   /// Aborts an answer that has begun, so that it cannot look complete.
   void Cut(const std::string& aReason);
   /// Calls Over(). @return the caller's side for the end of the answer; null if the caller has gone
--- a/src/pepperbay/relay/exchange_ends.cpp
+++ b/src/pepperbay/relay/exchange_ends.cpp
@@ -54,7 +54,7 @@
     NoteRestarted(*mHedge);
     DropHedge("engine_restarted", mHedge->mAttempt->MayHaveRun());
   }
-  if (StopIfHeldBack()) {
+  if (StopIfQuarantined()) {
     return;
   }
   if (EngineRestarted(mCurrent)) {
@@ -156,7 +156,7 @@
   progress.mLeft = Left();
   progress.mHasTarget = mConnectFailures < kMaxConnectFailures && HasTarget();
   progress.mHasBudget = mSent == 0 || HasBudget();
-  progress.mHeldBack = IsHeldBack();
+  progress.mHeldBack = IsQuarantined();
   if (mService->mPool && !mFallback) {
     const TimePoint last = mStreamStarted ? mPassedAt : mArrived;
     progress.mPatience = last + kUnservedTimeout - mCore->Now();
@@ -273,7 +273,7 @@
     after += std::max(Duration::zero(), most) * part / static_cast<Duration::rep>(kParts);
   }
   // A quarantined request is refused at every node, so an earlier retry is useless.
-  return std::max(after, HeldFor());
+  return std::max(after, QuarantineTimeLeft());
 }
 
 void
--- a/src/pepperbay/relay/exchange_second.cpp
+++ b/src/pepperbay/relay/exchange_second.cpp
@@ -25,7 +25,7 @@
 bool
 Exchange::MayHedge() const
 {
-  return MayTryNewEngine() && !IsHeldBack() && HasTarget() && HasBudget();
+  return MayTryNewEngine() && !IsQuarantined() && HasTarget() && HasBudget();
 }
 
 void
@@ -67,7 +67,7 @@
   }
   if (!MayTryNewEngine() && IsSilentFor(mCurrent, kSilentEngineTimeout)) {
     OnFailure("replica_lost", true);
-  } else if (now >= mHedgeNotBefore && !IsHeldBack() && MayHedgeStream()) {
+  } else if (now >= mHedgeNotBefore && !IsQuarantined() && MayHedgeStream()) {
     HedgeStream("replica_lost");
   }
 }
--- a/src/pepperbay/relay/exchange_suspect.cpp
+++ b/src/pepperbay/relay/exchange_suspect.cpp
@@ -13,7 +13,7 @@
 /// A prompt part that makes engines exit does so within this time as a rule. A harmless part that
 /// has not yet been completed may be quarantined together with the cause. A request with it that
 /// runs for longer than this is not aborted; if it continues, it clears the part.
-constexpr std::chrono::milliseconds kPartGoesOnAfter{ 300 };
+constexpr std::chrono::milliseconds kPartProvenAfter{ 300 };
 
 } // namespace
 
@@ -30,36 +30,36 @@
 }
 
 Duration
-Exchange::HeldFor() const
+Exchange::QuarantineTimeLeft() const
 {
   return std::max(Suspected().mHeldUntil - mCore->Now(), Duration::zero());
 }
 
 bool
-Exchange::IsHeldBack() const
+Exchange::IsQuarantined() const
 {
   // If an engine has exited during this request before and the connection was closed just now, this
   // engine may have exited as well. That is known only after a second engine would be used.
-  return HeldFor() > Duration::zero() || (mInterrupted && Suspected().mScore > 0);
+  return QuarantineTimeLeft() > Duration::zero() || (mInterrupted && Suspected().mScore > 0);
 }
 
 void
-Exchange::NoteRan(bool aSaidWhole)
+Exchange::NoteCompleted(bool aExplicitEnd)
 {
-  mCore->OnRanWhole(mKey);
-  if (aSaidWhole && mStatus < kRedirection) {
-    mCore->OnPartsRan(mParts);
+  mCore->OnRequestCompleted(mKey);
+  if (aExplicitEnd && mStatus < kRedirection) {
+    mCore->OnPartsCompleted(mParts);
   }
 }
 
 void
-Exchange::NoteRunsOn()
+Exchange::NoteLongRun()
 {
   const auto& headAt = mCurrent.mHeadAt;
   const bool runsOn =
     mCurrent.mWriting && headAt && mCurrent.mLastEventAt - *headAt > mCore->mOptions.mSuspectWithin;
-  if (runsOn && !std::exchange(mCurrent.mRunsOn, true)) {
-    mCore->OnPartsRan(mParts);
+  if (runsOn && !std::exchange(mCurrent.mLongRunNoted, true)) {
+    mCore->OnPartsCompleted(mParts);
   }
 }
 
@@ -135,9 +135,9 @@
 }
 
 bool
-Exchange::StopIfHeldBack()
+Exchange::StopIfQuarantined()
 {
-  if (HeldFor() == Duration::zero()) {
+  if (QuarantineTimeLeft() == Duration::zero()) {
     return false;
   }
   if (mHedge && !mHedge->mHeadAt) {
@@ -145,7 +145,7 @@
   }
   const auto& headAt = mCurrent.mHeadAt;
   const bool byPart = mCore->SuspectOf(mKey).mHeldUntil <= mCore->Now();
-  const Duration most = byPart ? Duration(kPartGoesOnAfter) : mCore->mOptions.mSuspectWithin;
+  const Duration most = byPart ? Duration(kPartProvenAfter) : mCore->mOptions.mSuspectWithin;
   const bool proven = headAt && mCore->Now() - *headAt > most;
   if (proven || mHedge) {
     return false; // it has run for longer than requests that make engines exit
@@ -158,13 +158,13 @@
   } else if (mMayHaveRun) {
     Answer(kBadGateway, "held_back", "engines end when they run it; whether it ran is unknown");
   } else {
-    RefuseHeldBack();
+    RefuseQuarantined();
   }
   return true;
 }
 
 void
-Exchange::RefuseHeldBack()
+Exchange::RefuseQuarantined()
 {
   Answer(
     kUnavailable,
--- a/src/pepperbay/relay/relay_core.cpp
+++ b/src/pepperbay/relay/relay_core.cpp
@@ -117,7 +117,7 @@
   const bool suspects = aPlan->mSuspects && (!mPlan || aPlan->mSuspects != mPlan->mSuspects);
   mPlan = std::move(aPlan);
   if (suspects) {
-    ClearThoseThatRan(*mPlan->mSuspects);
+    ClearCompletedSuspects(*mPlan->mSuspects);
   }
   mPlaces.SetPlan(mPlan);
   if (mConnector.SetPeers(mPlan->mProxyPeers)) {
@@ -185,36 +185,36 @@
 }
 
 void
-RelayCore::OnRanWhole(const RequestKey& aKey)
+RelayCore::OnRequestCompleted(const RequestKey& aKey)
 {
   mRuns.OnRun(aKey, Now());
-  TellRan(aKey);
+  ReportCompleted(aKey);
 }
 
 void
-RelayCore::OnPartsRan(const std::vector<PromptPart>& aParts)
+RelayCore::OnPartsCompleted(const std::vector<PromptPart>& aParts)
 {
   for (const auto& it : aParts) {
     mPartRuns.OnRun(it.mKey, Now());
-    TellRan(it.mKey);
+    ReportCompleted(it.mKey);
   }
 }
 
 void
-RelayCore::TellRan(const RequestKey& aKey)
+RelayCore::ReportCompleted(const RequestKey& aKey)
 {
-  if (SuspectOf(aKey).mScore > 0 && mHooks.mOnRanWhole) {
-    mHooks.mOnRanWhole(aKey);
+  if (SuspectOf(aKey).mScore > 0 && mHooks.mOnSuspectCompleted) {
+    mHooks.mOnSuspectCompleted(aKey);
   }
 }
 
 void
-RelayCore::ClearThoseThatRan(const SuspectRequests& aSuspects)
+RelayCore::ClearCompletedSuspects(const SuspectRequests& aSuspects)
 {
   for (const auto& [key, suspect] : aSuspects) {
     const bool ran = mRuns.HasRun(key, Now()) || mPartRuns.HasRun(key, Now());
-    if (ran && mHooks.mOnRanWhole) {
-      mHooks.mOnRanWhole(key);
+    if (ran && mHooks.mOnSuspectCompleted) {
+      mHooks.mOnSuspectCompleted(key);
     }
   }
 }
--- a/src/pepperbay/relay/relay_core.hpp
+++ b/src/pepperbay/relay/relay_core.hpp
@@ -34,17 +34,17 @@
   /// @return the suspicion against a request; a score of 0 means none.
   SuspectRequest SuspectOf(const RequestKey& aKey) const;
   /// An engine completed a request, so the request did not cause any engine to exit.
-  void OnRanWhole(const RequestKey& aKey);
+  void OnRequestCompleted(const RequestKey& aKey);
   /// An engine completed a request with these prompt parts.
-  void OnPartsRan(const std::vector<PromptPart>& aParts);
+  void OnPartsCompleted(const std::vector<PromptPart>& aParts);
   /// Reports that a request or prompt part was completed, if it is a suspect.
-  void TellRan(const RequestKey& aKey);
+  void ReportCompleted(const RequestKey& aKey);
   /// Counts an engine's exit against a request or prompt part that it had, unless that was
   /// completed recently.
   void ChargeExit(const RecentRuns& aRuns, const RequestKey& aKey, const EngineEnd& aEnd);
   /// Clears the suspects that were recently completed at this node. Other nodes have seen only the
   /// exits.
-  void ClearThoseThatRan(const SuspectRequests& aSuspects);
+  void ClearCompletedSuspects(const SuspectRequests& aSuspects);
   /// An engine exited while it had requests of this node.
   void OnEngineExited(const AttemptTarget& aEngine,
                       const std::vector<InterruptedRequest>& aRequests);
--- a/src/pepperbay/relay/relay_fixture.hpp
+++ b/src/pepperbay/relay/relay_fixture.hpp
@@ -112,7 +112,7 @@
       mEndsChanged.notify_all();
     };
     hooks.mOnReach = [this](bool aReaches) { mReaches = aReaches; };
-    hooks.mOnRanWhole = [this](const RequestKey&) { ++mRanWhole; };
+    hooks.mOnSuspectCompleted = [this](const RequestKey&) { ++mRanWhole; };
     hooks.mSendToDesk = [this](const std::string&, const std::string& aBytes) {
       const std::lock_guard<std::mutex> lock(mEndsMutex);
       mSentToDesks.push_back(aBytes);
