--- a/include/pepperbay/relay/relay.hpp
+++ b/include/pepperbay/relay/relay.hpp
@@ -50,7 +50,7 @@
   /// `IP:port` (TCP) where this node accepts tunnels to engines from its peers; empty: it does not.
   std::string mTunnel;
   std::string mTunnelKey; ///< key that peers must present to open a tunnel
-  std::size_t mMostCarried = kMostCarried;
+  std::size_t mMaxTunnelled = kMostCarried;
   ConnectionGateOptions mGate;
   RelayTuning mTuning;
   /// Connect timeout. Several round trips between data centres, and short enough to try another
@@ -107,15 +107,15 @@
   /// Failed connection attempts to engines, by error.
   std::map<std::string, std::uint64_t> mConnectsFailed;
   TimePoint mEngineHeardAt{}; ///< last byte received from any engine over a direct connection
-  std::uint64_t mCarriedByPeers = 0; ///< connections to engines that were tunnelled through peers
-  TunnelCounters mTunnels;           ///< tunnels that this node provides for its peers
+  std::uint64_t mTunnelledByPeers = 0; ///< connections to engines that were tunnelled through peers
+  TunnelCounters mTunnels;             ///< tunnels that this node provides for its peers
   /// Requests sent to engines that have a rate limit, by kind; see docs/OPERATIONS.md.
   std::map<std::string, std::uint64_t> mSentToLimited;
   std::uint64_t mLimitedEngines = 0; ///< engines that currently have a rate limit
   std::uint64_t mBadLimits = 0;      ///< answers with a rate limit that could not be parsed
   std::uint64_t mClosedUnread = 0;   ///< callers' connections closed before any byte was read
   std::uint64_t mOpen = 0;           ///< requests in progress
-  std::uint64_t mKeptBytes = 0;      ///< bytes of incomplete answers that are buffered now
+  std::uint64_t mBufferedBytes = 0;  ///< bytes of incomplete answers that are buffered now
   LatencyHistogram mFirstEvent;      ///< from a request's first byte to its stream's first event
   LatencyHistogram mWholeAnswer;     ///< from a request's first byte to a complete plain answer
   /// Gap in a resumed stream as the caller sees it: from the last event of one engine to the first
--- a/scripts/mutants/retries.sh
+++ b/scripts/mutants/retries.sh
@@ -23,7 +23,7 @@
 mutant "two keepers" $s/coordinator/coordinator_rate_leases.cpp \
   's/  if \(mStopping \|\| !mLease.Held\(\)\) \{/  if (mStopping) {/' coordinator_coordinator_limits_test '*TheHolderKeeps*'
 mutant "second attempts go on kept connections" $s/relay/exchange_sending.cpp \
-  's/ \|\| mAvoidsKept//' relay_relay_kept_test '*AllKept*'
+  's/ \|\| mAvoidsPooled//' relay_relay_kept_test '*AllKept*'
 mutant "a stale connection is the engine's fault" $s/relay/exchange_ends.cpp \
   's/aMayHaveRun \&\& !mCurrent.mStale/aMayHaveRun/' relay_relay_kept_test '*NotPassedOver*'
 mutant "the engine of a stale connection counts twice" $s/relay/exchange_ends.cpp \
@@ -37,4 +37,4 @@
 mutant "a stream without a second attempt is cut at once" $s/dispatch/failure_step.cpp \
   's/waits \&\& WhyNotAgain/false \&\& WhyNotAgain/' relay_relay_retries_test 'RelayAwaited*'
 mutant "what was broken off is sent over a kept connection" $s/relay/exchange_sending.cpp \
-  's/ \|\| mAvoidsKept//' relay_relay_kept_test '*GoesOnOverANewConnection*'
+  's/ \|\| mAvoidsPooled//' relay_relay_kept_test '*GoesOnOverANewConnection*'
--- a/src/pepperbay/edge/edge_node.cpp
+++ b/src/pepperbay/edge/edge_node.cpp
@@ -258,7 +258,7 @@
     options.mDeskAddress = mSettings.mDesk;
     options.mTunnel = mSettings.mTunnel;
     options.mTunnelKey = mTunnelKey;
-    options.mMostCarried = mMostCarried;
+    options.mMaxTunnelled = mMostCarried;
     options.mGate.mMostOpen = mMostCallers;
     options.mTuning = TuningOf(mSettings);
     return options;
--- a/src/pepperbay/relay/attempt.cpp
+++ b/src/pepperbay/relay/attempt.cpp
@@ -37,7 +37,7 @@
     });
   }
   if (mSocket) {
-    mKept = true;
+    mPooled = true;
     mPeer = mSocket->mPeer;
     Send();
     return;
@@ -95,7 +95,7 @@
         return;
       }
       if (aError) {
-        self->mStale = self->mKept && self->mBuffer.size() == 0 && !self->mParser->got_some();
+        self->mStale = self->mPooled && self->mBuffer.size() == 0 && !self->mParser->got_some();
         self->Fail("head: ", aError);
         return;
       }
@@ -178,7 +178,7 @@
   }
   if (mSocket) {
     CloseNow(mSocket->mSocket);
-    mSocket->mCarriedBy.reset();
+    mSocket->mTunnelCount.reset();
   }
 }
 
@@ -210,7 +210,7 @@
   end.mNotListening = mNotListening;
   end.mWhy = aWhy;
   if (aComplete) {
-    KeepConnection();
+    ReturnToPool();
   } else {
     CloseConnection();
   }
@@ -219,7 +219,7 @@
 }
 
 void
-Attempt::KeepConnection()
+Attempt::ReturnToPool()
 {
   // Unexpected bytes after the answer, or an unsent rest of this request, would corrupt the next
   // exchange on the connection.
--- a/src/pepperbay/relay/attempt.hpp
+++ b/src/pepperbay/relay/attempt.hpp
@@ -89,7 +89,7 @@
   void OnPiece(boost::system::error_code aError);
   void Finish(bool aComplete, const std::string& aWhy);
   void Fail(const char* aStep, const boost::system::error_code& aError);
-  void KeepConnection();
+  void ReturnToPool();
   void CloseConnection();
 
   EngineConnector* mConnector;
@@ -111,7 +111,7 @@
   int mInterim = 0; ///< interim (1xx) answers received
   bool mSent = false;
   bool mAllWritten = false;
-  bool mKept = false; ///< the connection came from the pool
+  bool mPooled = false; ///< the connection came from the pool
   bool mClosed = false;
   bool mBadBytes = false;
   bool mStale = false;
--- a/src/pepperbay/relay/connecting.cpp
+++ b/src/pepperbay/relay/connecting.cpp
@@ -134,7 +134,7 @@
     } else {
       mConnector->mWays.OnReachedByPeer(mEngine.mEngine);
     }
-    mConnector->mHooks.mOnCarried();
+    mConnector->mHooks.mOnTunnelled();
     EngineConnection connection;
     connection.mSocket.emplace(
       EngineSocket{ std::move(*aTunnel.mSocket), aPeer, mConnector->mPeers.CountTunnel(aPeer) });
--- a/src/pepperbay/relay/connection_pool.cpp
+++ b/src/pepperbay/relay/connection_pool.cpp
@@ -68,7 +68,7 @@
 }
 
 void
-ConnectionPool::ForgetCarriedBy(const std::function<bool(const std::string& aPeer)>& aForgets)
+ConnectionPool::ForgetByPeer(const std::function<bool(const std::string& aPeer)>& aForgets)
 {
   for (auto& [engine, idle] : mIdle) {
     idle.erase(std::remove_if(idle.begin(),
--- a/src/pepperbay/relay/connection_pool.hpp
+++ b/src/pepperbay/relay/connection_pool.hpp
@@ -58,7 +58,7 @@
   void Forget(const std::string& aEngine) { mIdle.erase(aEngine); }
   /// Closes idle connections by peer: those for which `aForgets` is true, which is called with the
   /// empty name for direct connections.
-  void ForgetCarriedBy(const std::function<bool(const std::string& aPeer)>& aForgets);
+  void ForgetByPeer(const std::function<bool(const std::string& aPeer)>& aForgets);
   /// Closes connections whose idle time-out has passed.
   void Tick();
   std::size_t Size() const;
--- a/src/pepperbay/relay/connector_world.hpp
+++ b/src/pepperbay/relay/connector_world.hpp
@@ -126,7 +126,7 @@
     hooks.mNow = mClock.Hook();
     hooks.mOnAvoid = [this](bool aAvoids) { mAvoided += aAvoids ? 1 : 0; };
     hooks.mEngines = [this] { return mEngines; };
-    hooks.mOnCarried = [] {};
+    hooks.mOnTunnelled = [] {};
     hooks.mOnProbeConnected = [](const AttemptTarget&, const EngineSocket&) {};
     hooks.mDial = [this](Socket&, const std::string& aAddress, auto aDone) {
       After(kRoundTrip, [this, aAddress, done = std::move(aDone)] { Answer(aAddress, done); });
--- a/src/pepperbay/relay/engine_connector.hpp
+++ b/src/pepperbay/relay/engine_connector.hpp
@@ -36,8 +36,8 @@
 struct EngineSocket
 {
   Socket mSocket;
-  std::string mPeer;                ///< peer that tunnels the connection; empty: direct
-  std::shared_ptr<void> mCarriedBy; ///< counts the tunnel at its peer until it is released
+  std::string mPeer;                  ///< peer that tunnels the connection; empty: direct
+  std::shared_ptr<void> mTunnelCount; ///< counts the tunnel at its peer until it is released
 };
 
 /// Result of a connection attempt.
@@ -94,7 +94,7 @@
   /// @return engines that may be connected to in order to test the network path.
   std::function<std::vector<AttemptTarget>()> mEngines;
   /// A tunnel through a peer was established.
-  std::function<void()> mOnCarried;
+  std::function<void()> mOnTunnelled;
   /// A probe connection was established and may be used for requests.
   std::function<void(const AttemptTarget&, EngineSocket)> mOnProbeConnected;
   DialFn mDial = &Dial;
--- a/src/pepperbay/relay/exchange.cpp
+++ b/src/pepperbay/relay/exchange.cpp
@@ -226,11 +226,11 @@
 {
   NoteHeard(&mCurrent);
   if (mPhase == Phase::kEvents) {
-    PassEvents(aBytes);
+    ForwardEvents(aBytes);
     return;
   }
   mBody.append(aBytes);
-  if (!CountKept()) {
+  if (!CountBuffered()) {
     NoteNonRepeatableFailure();
     OnFailure("answer_too_long", true);
     return;
@@ -239,21 +239,21 @@
 }
 
 bool
-Exchange::CountKept()
+Exchange::CountBuffered()
 {
-  std::uint64_t& all = mCore->mCounters.mKeptBytes;
-  all -= mKept;
-  mKept = mBody.size() + mSplitter.PartialBytes();
-  all += mKept;
-  return mKept <= kMaxAnswerBytes &&
-         (mKept <= kMinBufferedBytes || all <= mCore->mOptions.mMaxBufferedBytes);
+  std::uint64_t& all = mCore->mCounters.mBufferedBytes;
+  all -= mBuffered;
+  mBuffered = mBody.size() + mSplitter.PartialBytes();
+  all += mBuffered;
+  return mBuffered <= kMaxAnswerBytes &&
+         (mBuffered <= kMinBufferedBytes || all <= mCore->mOptions.mMaxBufferedBytes);
 }
 
 void
-Exchange::PassEvents(std::string_view aBytes)
+Exchange::ForwardEvents(std::string_view aBytes)
 {
   mSplitter.Feed(aBytes);
-  if (!CountKept()) {
+  if (!CountBuffered()) {
     OnFailure("event_too_long", true);
     return;
   }
@@ -278,13 +278,13 @@
   if (!mCurrent.mWriting) {
     mCurrent.mWriting = true;
     if (mStreamStarted) {
-      mCore->mCounters.mResumePause.Observe(now - mPassedAt);
+      mCore->mCounters.mResumePause.Observe(now - mForwardedAt);
     }
   } else {
     mCore->mBalancer.OnPause(mCurrent.mTarget.mEngine, now - mCurrent.mLastEventAt, now);
   }
   mCurrent.mLastEventAt = now;
-  mPassedAt = now;
+  mForwardedAt = now;
   NoteLongRun();
   if (!mStreamStarted) {
     mCore->mCounters.mFirstEvent.Observe(now - mArrived);
--- a/src/pepperbay/relay/exchange.hpp
+++ b/src/pepperbay/relay/exchange.hpp
@@ -202,9 +202,9 @@
   void OnEnd(const AttemptEnd& aEnd);
   /// @param aExplicitEnd see NoteCompleted()
   void OnWholeAnswer(bool aExplicitEnd);
-  void PassEvents(std::string_view aBytes);
+  void ForwardEvents(std::string_view aBytes);
   /// Updates the count of buffered bytes. @return whether they are within the limits
-  bool CountKept();
+  bool CountBuffered();
   /// Forwards events; nothing more is read from the engine until they are written.
   void PushToCaller(const std::string& aEvents);
   /// Starts or stops measuring the silence of a dispatch's engine.
@@ -321,7 +321,7 @@
   std::set<std::string> mUnreached; ///< unreachable targets of hedges; used after all others
   AskedEngines mAsked;
   std::optional<StaleConnection> mStale; ///< the last one, until the state of its engine is known
-  bool mAvoidsKept = false;    ///< one connection was closed early; pooled ones may be dead as well
+  bool mAvoidsPooled = false;  ///< one connection was closed early; pooled ones may be dead as well
   bool mHedgePending = false;  ///< a slot elsewhere is being requested
   TimePoint mHedgeNotBefore{}; ///< no earlier hedge, since no slot was found or the hedge failed
   int mMovesRefused = 0;       ///< times that no slot was found
@@ -337,9 +337,9 @@
   HeaderFields mFields;
   std::string mBody;
   EventSplitter mSplitter;
-  std::size_t mKept = 0;                   ///< bytes of mBody and mSplitter, as last counted
+  std::size_t mBuffered = 0;               ///< bytes of mBody and mSplitter, as last counted
   std::optional<std::uint64_t> mLastEvent; ///< last event ID that the caller has
-  TimePoint mPassedAt{};                   ///< when the last event was forwarded
+  TimePoint mForwardedAt{};                ///< when the last event was forwarded
   bool mStreamStarted = false;             ///< the status and headers were sent to the caller
   bool mPushing = false;                   ///< events are being written to the caller
   /// An engine's error response, kept while a second engine is tried.
--- a/src/pepperbay/relay/exchange_ends.cpp
+++ b/src/pepperbay/relay/exchange_ends.cpp
@@ -158,7 +158,7 @@
   progress.mHasBudget = mSent == 0 || HasBudget();
   progress.mHeldBack = IsQuarantined();
   if (mService->mPool && !mFallback) {
-    const TimePoint last = mStreamStarted ? mPassedAt : mArrived;
+    const TimePoint last = mStreamStarted ? mForwardedAt : mArrived;
     progress.mPatience = last + kUnservedTimeout - mCore->Now();
   }
   return progress;
@@ -318,7 +318,7 @@
   DropAttempt();
   mCaller = nullptr;
   --mCore->mCounters.mOpen;
-  mCore->mCounters.mKeptBytes -= std::exchange(mKept, 0);
+  mCore->mCounters.mBufferedBytes -= std::exchange(mBuffered, 0);
   mCore->mExchanges.erase(shared_from_this());
 }
 
--- a/src/pepperbay/relay/exchange_sending.cpp
+++ b/src/pepperbay/relay/exchange_sending.cpp
@@ -369,7 +369,7 @@
   // not show. So a retry uses a new connection unless the engine was reached recently.
   const bool heard =
     mCore->Now() - mCore->mConnector.HeardAt(aDispatch->mTarget.mEngine) < kHeardLately;
-  const bool fresh = !mRoute->Repeatable() || mAvoidsKept || (mSent > 1 && !heard);
+  const bool fresh = !mRoute->Repeatable() || mAvoidsPooled || (mSent > 1 && !heard);
   aDispatch->mAttempt->Start(MakeUpstreamRequest(aDispatch->mTarget), fresh, std::move(events));
 }
 
--- a/src/pepperbay/relay/exchange_suspect.cpp
+++ b/src/pepperbay/relay/exchange_suspect.cpp
@@ -85,7 +85,7 @@
   }
   if (aEnd.mClosed) {
     mInterrupted = true;
-    mAvoidsKept = true; // the same fault may have closed pooled connections
+    mAvoidsPooled = true; // the same fault may have closed pooled connections
     mCore->mExitProbe.OnInterrupted(aDispatch->mTarget, InterruptedAt(*aDispatch));
   }
   if (aEnd.mBadBytes) {
@@ -102,7 +102,7 @@
 {
   ++mCore->mCounters.mStaleConnections;
   aDispatch->mStale = true;
-  mAvoidsKept = true;
+  mAvoidsPooled = true;
   mTried.erase(aDispatch->mTarget.mEngine);
   mAsked.OnNotTaken(aDispatch->mTarget.mEngine);
   if (Suspected().mScore > 0) {
--- a/src/pepperbay/relay/relay.cpp
+++ b/src/pepperbay/relay/relay.cpp
@@ -63,11 +63,11 @@
     TunnelServerOptions options;
     options.mAddress = mCore.mOptions.mTunnel;
     options.mKey = mCore.mOptions.mTunnelKey;
-    options.mMost = mCore.mOptions.mMostCarried;
+    options.mMost = mCore.mOptions.mMaxTunnelled;
     options.mNow = mCore.mOptions.mNow;
     TunnelServerHooks hooks;
     hooks.mAddressOf = [this](const std::string& aEngine) { return AddressOf(aEngine); };
-    hooks.mWhyNot = [this] { return WhyCarriesNothing(); };
+    hooks.mWhyNot = [this] { return TunnelRefusalReason(); };
     hooks.mOnHeard = [this](const std::string& aEngine) { mCore.mConnector.OnHeard(aEngine, ""); };
     hooks.mFindSight =
       [this](const std::string& aEngine, TimePoint aSince, std::function<void(bool)> aDone) {
@@ -251,7 +251,7 @@
   }
 
   /// @return why this node accepts no more tunnels of other nodes; empty: it accepts them.
-  std::string WhyCarriesNothing() const
+  std::string TunnelRefusalReason() const
   {
     if (mCore.mStopping) {
       return "stopping";
--- a/src/pepperbay/relay/relay_core.cpp
+++ b/src/pepperbay/relay/relay_core.cpp
@@ -90,7 +90,7 @@
                { mOptions.mNow,
                  [this](bool aAvoids) { OnAvoid(aAvoids); },
                  [this] { return EnginesToProbe(); },
-                 [this] { ++mCounters.mCarriedByPeers; },
+                 [this] { ++mCounters.mTunnelledByPeers; },
                  [this](const AttemptTarget& aEngine, EngineSocket aSocket) {
                    mConnections.Put(aEngine.mEngine, std::move(aSocket), std::nullopt, 1);
                  } })
@@ -122,7 +122,7 @@
   mPlaces.SetPlan(mPlan);
   if (mConnector.SetPeers(mPlan->mProxyPeers)) {
     // A peer that is stopping waits until its tunnels are closed, so idle ones must not be kept.
-    mConnections.ForgetCarriedBy(
+    mConnections.ForgetByPeer(
       [this](const std::string& aPeer) { return !aPeer.empty() && !mConnector.IsPeer(aPeer); });
   }
   const RetryKeeperPlan& keeper = mPlan->mRetryKeeper;
@@ -308,7 +308,7 @@
   if (aAvoids) {
     // Direct connections may be cut by the partition without showing it; a request that is sent
     // over one would be lost.
-    mConnections.ForgetCarriedBy([](const std::string& aPeer) { return aPeer.empty(); });
+    mConnections.ForgetByPeer([](const std::string& aPeer) { return aPeer.empty(); });
   }
   if (mHooks.mOnReach) {
     mHooks.mOnReach(!aAvoids);
--- a/src/pepperbay/relay/relay_endless_test.cpp
+++ b/src/pepperbay/relay/relay_endless_test.cpp
@@ -95,13 +95,13 @@
   Serve({ &engine }, options);
   auto slow =
     std::async(std::launch::async, [this] { return Ask(Post("/once/", "slow", "Key: k1\r\n")); });
-  while (Counters().mKeptBytes < kHalf) {
+  while (Counters().mBufferedBytes < kHalf) {
   }
   EXPECT_EQ(StatusOf(Ask(Post("/once/", "large", "Key: k1\r\n"))), 502);
   EXPECT_EQ(StatusOf(Ask(Once())), 200);
   over.set_value();
   EXPECT_EQ(StatusOf(slow.get()), 200);
-  EXPECT_EQ(Counters().mKeptBytes, 0U);
+  EXPECT_EQ(Counters().mBufferedBytes, 0U);
 }
 
 /// The same by events, of which each would be whole in the end.
--- a/src/pepperbay/relay/relay_reach_test.cpp
+++ b/src/pepperbay/relay/relay_reach_test.cpp
@@ -63,7 +63,7 @@
   std::unique_lock<std::mutex> lock(mEndsMutex);
   mEndsChanged.wait(lock, [this] { return !mEnds.empty(); });
   lock.unlock();
-  EXPECT_EQ(Counters().mCarriedByPeers, 0U);
+  EXPECT_EQ(Counters().mTunnelledByPeers, 0U);
 }
 
 /// Guards against engines that are well and are taken for ended by the resets and refusals of a
@@ -293,15 +293,15 @@
   ServeBehindPaths();
   Cut(PathState::kReset);
   EXPECT_EQ(Served(4), 12);
-  EXPECT_GT(Counters().mCarriedByPeers, 0U);
+  EXPECT_GT(Counters().mTunnelledByPeers, 0U);
   EXPECT_FALSE(mReaches);
   Cut(PathState::kOpen);
   while (!mReaches) {
     std::this_thread::yield();
   }
-  const std::uint64_t carried = Counters().mCarriedByPeers;
+  const std::uint64_t carried = Counters().mTunnelledByPeers;
   EXPECT_EQ(Served(4), 12);
-  EXPECT_EQ(Counters().mCarriedByPeers, carried);
+  EXPECT_EQ(Counters().mTunnelledByPeers, carried);
 }
 
 /// Guards against answers that are cut off when the node that carries them is stopped in order.
