--- a/include/pepperbay/relay/relay.hpp
+++ b/include/pepperbay/relay/relay.hpp
@@ -46,7 +46,7 @@
   std::string mDataCentre; ///< of this node
   std::string mNode;
   std::uint64_t mIncarnation = 0;
-  std::string mDeskAddress; ///< `IP:port` (UDP) for messages between the nodes' place agents
+  std::string mAllocatorAddress; ///< `IP:port` (UDP) for messages between the nodes' place agents
   /// `IP:port` (TCP) where this node accepts tunnels to engines from its peers; empty: it does not.
   std::string mTunnel;
   std::string mTunnelKey; ///< key that peers must present to open a tunnel
@@ -139,11 +139,11 @@
   /// An engine exited while it had this request.
   std::function<void(const RequestKey& aRequest, const EngineEnd& aEnd)> mOnEngineExited;
   /// Direct connections from this node to engines work again, or have stopped working.
-  std::function<void(bool aReaches)> mOnReach;
+  std::function<void(bool aReaches)> mOnReachability;
   /// An engine completed a request that the plan lists as a suspect.
   std::function<void(const RequestKey& aRequest)> mOnSuspectCompleted;
   /// Sends a message to another node's place agent; null where there are no other nodes.
-  std::function<void(const std::string& aAddress, const std::string& aBytes)> mSendToDesk;
+  std::function<void(const std::string& aAddress, const std::string& aBytes)> mSendToAllocator;
   /// Writes a log line; see log.hpp.
   std::function<void(const char* aEvent, const std::map<std::string, std::string>& aFields)> mLog;
 };
@@ -167,7 +167,7 @@
   virtual void SetPlan(std::shared_ptr<const TrafficPlan> aPlan) = 0;
   virtual void Tune(const RelayTuning& aTuning) = 0;
   /// Handles a message from another node's place agent.
-  virtual void OnDeskMessage(const std::string& aBytes) = 0;
+  virtual void OnAllocatorMessage(const std::string& aBytes) = 0;
   /// Requests in progress by engine: those of this node and those that it assigned slots to for
   /// other nodes.
   virtual std::unordered_map<std::string, int> InFlight() const = 0;
--- a/scripts/mutants/shared_pool.sh
+++ b/scripts/mutants/shared_pool.sh
@@ -34,7 +34,7 @@
 mutant "a caller that left is not noticed" $relay/session.cpp \
   's/Peek\(self->mSocket\) == PeekResult::kClosed/false/' relay_relay_test '*ACallerThatLeaves*'
 mutant "late requests are taken in a stop" $relay/relay.cpp \
-  's/mCore.mTakesRequests = false/mCore.mTakesRequests = true/' relay_relay_stop_test '*RefusesWhatComesLate*'
+  's/mCore.mAcceptsRequests = false/mCore.mAcceptsRequests = true/' relay_relay_stop_test '*RefusesWhatComesLate*'
 mutant "a member that leaves is not swapped" $groups/group_planner.cpp \
   's/return engine != nullptr \&\& engine->mLeaving;/return false;/' \
   placement_group_planner_leaving_test '*Leav*'
--- a/src/pepperbay/edge/edge_node.cpp
+++ b/src/pepperbay/edge/edge_node.cpp
@@ -107,7 +107,7 @@
     }
     mPeers.Receive([this](const std::string& aBytes) { mCoordinator->OnMessage(aBytes); });
     if (!mSettings.mDesk.empty()) {
-      mDesks.Receive([this](const std::string& aBytes) { mRelay->OnDeskMessage(aBytes); });
+      mDesks.Receive([this](const std::string& aBytes) { mRelay->OnAllocatorMessage(aBytes); });
     }
     TickControl();
     TellTraffic();
@@ -255,7 +255,7 @@
     options.mDataCentre = mSettings.mDataCentre;
     options.mNode = mSettings.mName;
     options.mIncarnation = mIncarnation;
-    options.mDeskAddress = mSettings.mDesk;
+    options.mAllocatorAddress = mSettings.mDesk;
     options.mTunnel = mSettings.mTunnel;
     options.mTunnelKey = mTunnelKey;
     options.mMaxTunnelled = mMostCarried;
@@ -297,7 +297,7 @@
     hooks.mOnSuspect = [this](const std::string& aHead, Duration aSilence) {
       asio::post(mControl, [this, aHead, aSilence] { mCoordinator->OnSuspect(aHead, aSilence); });
     };
-    hooks.mOnReach = [this](bool aReaches) {
+    hooks.mOnReachability = [this](bool aReaches) {
       asio::post(mControl, [this, aReaches] { mCoordinator->SetReach(aReaches); });
     };
     hooks.mOnRefused = [this](const std::string& aHead) {
@@ -310,7 +310,7 @@
       asio::post(mControl, [this, aRequest] { mCoordinator->OnRanWhole(aRequest); });
     };
     if (!mSettings.mDesk.empty()) {
-      hooks.mSendToDesk = [this](const std::string& aAddress, const std::string& aBytes) {
+      hooks.mSendToAllocator = [this](const std::string& aAddress, const std::string& aBytes) {
         mDesks.Send(aAddress, aBytes);
       };
     }
--- a/src/pepperbay/relay/connecting.cpp
+++ b/src/pepperbay/relay/connecting.cpp
@@ -180,7 +180,7 @@
 {
   const bool here = mDirect == Direct::kRefused;
   const bool twoRefused = mRefusals + (here ? 1 : 0) >= 2;
-  if (twoRefused || !here || mAwayReports > 0 || mConnector->Avoids()) {
+  if (twoRefused || !here || mAwayReports > 0 || mConnector->IsDirectPathDown()) {
     FinishFailed(twoRefused);
     return;
   }
--- a/src/pepperbay/relay/connector_sight_test.cpp
+++ b/src/pepperbay/relay/connector_sight_test.cpp
@@ -75,7 +75,7 @@
     world.mPath = cut;
     EXPECT_TRUE(world.Request(0).has_value());
     world.Run(milliseconds(40));
-    EXPECT_TRUE(world.mConnector.Avoids());
+    EXPECT_TRUE(world.mConnector.IsDirectPathDown());
   }
 }
 
--- a/src/pepperbay/relay/connector_world.hpp
+++ b/src/pepperbay/relay/connector_world.hpp
@@ -124,7 +124,7 @@
   {
     EngineConnectorHooks hooks;
     hooks.mNow = mClock.Hook();
-    hooks.mOnAvoid = [this](bool aAvoids) { mAvoided += aAvoids ? 1 : 0; };
+    hooks.mOnDirectPathChange = [this](bool aDown) { mAvoided += aDown ? 1 : 0; };
     hooks.mEngines = [this] { return mEngines; };
     hooks.mOnTunnelled = [] {};
     hooks.mOnProbeConnected = [](const AttemptTarget&, const EngineSocket&) {};
--- a/src/pepperbay/relay/engine_connector.cpp
+++ b/src/pepperbay/relay/engine_connector.cpp
@@ -232,7 +232,7 @@
   mHeardAt = Now();
   mLastConnected.Note(aEngine, mHeardAt);
   mWays.OnConnected(aEngine, mHeardAt);
-  TellAvoid();
+  NotifyDirectPath();
 }
 
 void
@@ -241,7 +241,7 @@
   if (mPendingFaults.count(aEngine) != 0) {
     return;
   }
-  if (Avoids() || mHeardAt >= aBegun) {
+  if (IsDirectPathDown() || mHeardAt >= aBegun) {
     RecordPathFault(aEngine, aBegun);
     return;
   }
@@ -277,14 +277,14 @@
 EngineConnector::RecordPathFault(const std::string& aEngine, TimePoint aBegun)
 {
   mWays.OnPathFault(aEngine, aBegun, Now());
-  TellAvoid();
+  NotifyDirectPath();
 }
 
 void
-EngineConnector::TellAvoid()
+EngineConnector::NotifyDirectPath()
 {
-  if (std::exchange(mToldAvoid, mWays.Avoids()) != mWays.Avoids()) {
-    mHooks.mOnAvoid(mWays.Avoids());
+  if (std::exchange(mNotifiedDown, mWays.Avoids()) != mWays.Avoids()) {
+    mHooks.mOnDirectPathChange(mWays.Avoids());
   }
 }
 
--- a/src/pepperbay/relay/engine_connector.hpp
+++ b/src/pepperbay/relay/engine_connector.hpp
@@ -90,7 +90,7 @@
 {
   NowFn mNow;
   /// Direct connections are avoided from now on, or used again.
-  std::function<void(bool aAvoids)> mOnAvoid;
+  std::function<void(bool aDown)> mOnDirectPathChange;
   /// @return engines that may be connected to in order to test the network path.
   std::function<std::vector<AttemptTarget>()> mEngines;
   /// A tunnel through a peer was established.
@@ -148,8 +148,8 @@
   Way WayTo(const std::string& aEngine) const;
   /// @return whether an idle connection through this peer may be used for an engine.
   bool MayUse(const std::string& aEngine, const std::string& aPeer) const;
-  bool Avoids() const { return mWays.Avoids(); }
-  TimePoint AvoidsSince() const { return mWays.AvoidsSince(); }
+  bool IsDirectPathDown() const { return mWays.Avoids(); }
+  TimePoint DirectPathDownSince() const { return mWays.AvoidsSince(); }
   TimePoint HeardAt() const { return mHeardAt; }
   /// @return whether the peers differ from the previous ones.
   bool SetPeers(std::shared_ptr<const ProxyPeers> aPeers);
@@ -170,7 +170,7 @@
   void OnPathFault(const std::string& aEngine, TimePoint aBegun);
   void RecordPathFault(const std::string& aEngine, TimePoint aBegun);
   void RecordPendingFaults();
-  void TellAvoid();
+  void NotifyDirectPath();
   /// Probes whether direct connections to engines work again.
   void ProbeDirectPath();
   /// Opens a direct connection to test the path.
@@ -207,7 +207,7 @@
   std::map<std::string, TimePoint> mPendingFaults;
   std::set<std::string> mProbedForFaults; ///< these engines, and those that are probed for them
   std::size_t mFaultProbes = 0;           ///< pending probes for them
-  bool mToldAvoid = false;
+  bool mNotifiedDown = false;
 };
 
 } // namespace pepperbay
--- a/src/pepperbay/relay/exchange.cpp
+++ b/src/pepperbay/relay/exchange.cpp
@@ -45,7 +45,7 @@
     Refuse("no_configuration");
     return;
   }
-  if (!mCore->mTakesRequests) {
+  if (!mCore->mAcceptsRequests) {
     Refuse("stopping");
     return;
   }
--- a/src/pepperbay/relay/relay.cpp
+++ b/src/pepperbay/relay/relay.cpp
@@ -97,12 +97,12 @@
   void SetPlan(std::shared_ptr<const TrafficPlan> aPlan) override
   {
     mCore.SetPlan(std::move(aPlan));
-    AcceptOnceKnown();
+    AcceptWhenPlanKnown();
   }
 
   void Tune(const RelayTuning& aTuning) override { mCore.Tune(aTuning); }
 
-  void OnDeskMessage(const std::string& aBytes) override { mCore.mPlaces.OnMessage(aBytes); }
+  void OnAllocatorMessage(const std::string& aBytes) override { mCore.mPlaces.OnMessage(aBytes); }
 
   std::unordered_map<std::string, int> InFlight() const override { return mCore.mBalancer.Own(); }
 
@@ -126,7 +126,7 @@
 private:
   static constexpr int kBacklog = 1024; // listen queue, in connections
 
-  void AcceptOnceKnown()
+  void AcceptWhenPlanKnown()
   {
     const bool known = mCore.mPlan && mCore.mPlan->mComplete;
     const bool waited = mCore.Now() - mListeningSince >= mCore.mOptions.mWaitForPlan;
@@ -171,7 +171,7 @@
     mTickedAt = now;
     mGate.OnTick(mLag, now);
     LogClosedUnread(now);
-    AcceptOnceKnown();
+    AcceptWhenPlanKnown();
     mListener.Tick();
     for (const auto& it : mCore.mStalls.Suspects(now)) {
       mCore.mHooks.mOnSuspect(it, mCore.mStalls.Silence(it, now));
@@ -229,7 +229,7 @@
       // A load balancer without a better node would send connections until the end, and late
       // requests could not be completed before the process is killed.
       mListener.Close();
-      mCore.mTakesRequests = false;
+      mCore.mAcceptsRequests = false;
     }
     const std::vector<std::shared_ptr<Session>> sessions(mCore.mSessions.begin(),
                                                          mCore.mSessions.end());
@@ -256,7 +256,7 @@
     if (mCore.mStopping) {
       return "stopping";
     }
-    if (mCore.mConnector.Avoids()) {
+    if (mCore.mConnector.IsDirectPathDown()) {
       return "unreached"; // a second hop could form a loop
     }
     return mLag > kMaxLag ? "late" : "";
--- a/src/pepperbay/relay/relay_attempts_test.cpp
+++ b/src/pepperbay/relay/relay_attempts_test.cpp
@@ -91,7 +91,7 @@
     answer->set_address(replica.mHead.mAddress);
     answer->set_desk_address("127.0.0.1:1");
     asio::post(mContext,
-               [this, bytes = message.SerializeAsString()] { mRelay->OnDeskMessage(bytes); });
+               [this, bytes = message.SerializeAsString()] { mRelay->OnAllocatorMessage(bytes); });
   }
 
   std::size_t mQuestionsSeen = 0;
--- a/src/pepperbay/relay/relay_core.cpp
+++ b/src/pepperbay/relay/relay_core.cpp
@@ -31,7 +31,7 @@
   options.mNode = aOptions.mNode;
   options.mIncarnation = aOptions.mIncarnation;
   options.mDataCentre = aOptions.mDataCentre;
-  options.mAddress = aOptions.mDeskAddress;
+  options.mAddress = aOptions.mAllocatorAddress;
   options.mRetryShare = aOptions.mTuning.mRetryShare;
   return options;
 }
@@ -51,7 +51,7 @@
   RetryAgentOptions options;
   options.mNode = aOptions.mNode;
   options.mIncarnation = aOptions.mIncarnation;
-  options.mAddress = aOptions.mDeskAddress;
+  options.mAddress = aOptions.mAllocatorAddress;
   options.mLimits = RetryLimitsOf(aOptions.mTuning);
   return options;
 }
@@ -79,16 +79,16 @@
   , mBalancer(BalancerOptionsOf(mOptions))
   , mPlaces(PlaceOptionsOf(mOptions),
             { mOptions.mNow,
-              mHooks.mSendToDesk,
+              mHooks.mSendToAllocator,
               [this](const LimitNews& aNews) { OnLimit(aNews); },
               [this](const proto::PlaceMessage& aMessage) { mRetries.OnMessage(aMessage); } },
             &mBalancer)
-  , mRetries(RetryOptionsOf(mOptions), { mOptions.mNow, mHooks.mSendToDesk })
+  , mRetries(RetryOptionsOf(mOptions), { mOptions.mNow, mHooks.mSendToAllocator })
   , mConnections(ConnectionPoolOptions{}, mOptions.mNow)
   , mConnector(mContext,
                ConnectorOptionsOf(mOptions),
                { mOptions.mNow,
-                 [this](bool aAvoids) { OnAvoid(aAvoids); },
+                 [this](bool aDown) { OnDirectPathChange(aDown); },
                  [this] { return EnginesToProbe(); },
                  [this] { ++mCounters.mTunnelledByPeers; },
                  [this](const AttemptTarget& aEngine, EngineSocket aSocket) {
@@ -294,24 +294,24 @@
 }
 
 void
-RelayCore::OnAvoid(bool aAvoids)
+RelayCore::OnDirectPathChange(bool aDown)
 {
   std::string peers;
   for (const auto& it : mPlan && mPlan->mProxyPeers ? *mPlan->mProxyPeers : ProxyPeers{}) {
     peers += (peers.empty() ? "" : ",") + it.mNode;
   }
-  Log(aAvoids ? "engines_unreached" : "engines_reached",
-      { { "peers", peers },
-        { "heard_any_ms_ago", std::to_string(ToMs(Now() - mConnector.HeardAt()).count()) },
-        { "for_ms",
-          aAvoids ? "" : std::to_string(ToMs(Now() - mConnector.AvoidsSince()).count()) } });
-  if (aAvoids) {
+  Log(
+    aDown ? "engines_unreached" : "engines_reached",
+    { { "peers", peers },
+      { "heard_any_ms_ago", std::to_string(ToMs(Now() - mConnector.HeardAt()).count()) },
+      { "for_ms", aDown ? "" : std::to_string(ToMs(Now() - mConnector.DirectPathDownSince()).count()) } });
+  if (aDown) {
     // Direct connections may be cut by the partition without showing it; a request that is sent
     // over one would be lost.
     mConnections.ForgetByPeer([](const std::string& aPeer) { return aPeer.empty(); });
   }
-  if (mHooks.mOnReach) {
-    mHooks.mOnReach(!aAvoids);
+  if (mHooks.mOnReachability) {
+    mHooks.mOnReachability(!aDown);
   }
 }
 
--- a/src/pepperbay/relay/relay_core.hpp
+++ b/src/pepperbay/relay/relay_core.hpp
@@ -56,7 +56,7 @@
   /// @param aAsOf when the attempt that showed it was started
   void OnHeadGone(const std::string& aHead, TimePoint aAsOf);
   /// Direct connections to engines are avoided from now on, or used again.
-  void OnAvoid(bool aAvoids);
+  void OnDirectPathChange(bool aDown);
   /// Bytes of the attempt's engine were received.
   void OnHeard(const Attempt& aAttempt);
   /// @return engines that may be connected to in order to test the network path.
@@ -86,7 +86,7 @@
   std::set<std::shared_ptr<Session>> mSessions;
   std::set<std::shared_ptr<Exchange>> mExchanges;
   bool mStopping = false;
-  bool mTakesRequests = true; ///< false late in a shutdown
+  bool mAcceptsRequests = true; ///< false late in a shutdown
 };
 
 } // namespace pepperbay
--- a/src/pepperbay/relay/relay_fixture.hpp
+++ b/src/pepperbay/relay/relay_fixture.hpp
@@ -111,9 +111,9 @@
       mLines.push_back({ aEvent, aFields });
       mEndsChanged.notify_all();
     };
-    hooks.mOnReach = [this](bool aReaches) { mReaches = aReaches; };
+    hooks.mOnReachability = [this](bool aReaches) { mReaches = aReaches; };
     hooks.mOnSuspectCompleted = [this](const RequestKey&) { ++mRanWhole; };
-    hooks.mSendToDesk = [this](const std::string&, const std::string& aBytes) {
+    hooks.mSendToAllocator = [this](const std::string&, const std::string& aBytes) {
       const std::lock_guard<std::mutex> lock(mEndsMutex);
       mSentToDesks.push_back(aBytes);
     };
--- a/src/pepperbay/relay/relay_retries_test.cpp
+++ b/src/pepperbay/relay/relay_retries_test.cpp
@@ -44,7 +44,7 @@
     answer->set_incarnation(aQuestion.incarnation());
     answer->set_granted(aGranted);
     asio::post(mContext,
-               [this, bytes = message.SerializeAsString()] { mRelay->OnDeskMessage(bytes); });
+               [this, bytes = message.SerializeAsString()] { mRelay->OnAllocatorMessage(bytes); });
   }
 
   std::atomic<int> mRead{ 0 };
--- a/src/pepperbay/relay/silence_watch.cpp
+++ b/src/pepperbay/relay/silence_watch.cpp
@@ -10,7 +10,7 @@
 SilenceWatch::Tick()
 {
   EngineConnector& connector = mCore->mConnector;
-  if (!connector.HasPeers() || connector.Avoids()) {
+  if (!connector.HasPeers() || connector.IsDirectPathDown()) {
     return;
   }
   const TimePoint now = mCore->Now();
