--- a/bench/relay.cpp
+++ b/bench/relay.cpp
@@ -118,20 +118,20 @@
 PlainDialect()
 {
   Dialect dialect;
-  dialect.mReadRequest = [](const HeaderFields& aFields) -> Result<RequestFacts> {
-    RequestFacts facts;
-    facts.mId = std::string(aFields["Req"].data(), aFields["Req"].size());
-    facts.mModel = "m";
-    return facts;
+  dialect.mReadRequest = [](const HeaderFields& aFields) -> Result<RequestMetadata> {
+    RequestMetadata metadata;
+    metadata.mId = std::string(aFields["Req"].data(), aFields["Req"].size());
+    metadata.mModel = "m";
+    return metadata;
   };
   dialect.mStampRequest = [](const RequestStamp& aStamp, HeaderFields* aFields) {
     aFields->set("Engine", aStamp.mEngine);
   };
   dialect.mReadAnswer = [](int, const HeaderFields&) {
-    AnswerFacts facts;
-    facts.mSealed = true;
-    facts.mKeepAlive = std::chrono::seconds(60);
-    return facts;
+    AnswerMetadata metadata;
+    metadata.mSealed = true;
+    metadata.mKeepAlive = std::chrono::seconds(60);
+    return metadata;
   };
   return dialect;
 }
--- a/include/pepperbay/relay/dialect.hpp
+++ b/include/pepperbay/relay/dialect.hpp
@@ -18,7 +18,7 @@
 using HeaderFields = boost::beast::http::fields;
 
 /// Metadata that a caller's headers give about its request.
-struct RequestFacts
+struct RequestMetadata
 {
   std::string mId;                         ///< request ID; identifies one attempt of the caller
   std::optional<Duration> mDeadline;       ///< how long the caller waits
@@ -45,7 +45,7 @@
 };
 
 /// Metadata that an engine's headers give about its answer.
-struct AnswerFacts
+struct AnswerMetadata
 {
   bool mSealed = false; ///< the answer carries the engine's seal: the engine itself produced it
   bool mNotRun = false; ///< the engine states that it did not start the request
@@ -62,10 +62,10 @@
 /// Translates between the platform's headers and the relay's types.
 struct Dialect
 {
-  std::function<Result<RequestFacts>(const HeaderFields&)> mReadRequest;
+  std::function<Result<RequestMetadata>(const HeaderFields&)> mReadRequest;
   /// Overwrites the caller's headers with the stamp and removes those that engines must not see.
   std::function<void(const RequestStamp&, HeaderFields* aFields)> mStampRequest;
-  std::function<AnswerFacts(int aStatus, const HeaderFields&)> mReadAnswer;
+  std::function<AnswerMetadata(int aStatus, const HeaderFields&)> mReadAnswer;
 };
 
 } // namespace pepperbay
--- a/scripts/mutants/shared_pool.sh
+++ b/scripts/mutants/shared_pool.sh
@@ -4,9 +4,9 @@
 relay=$s/relay
 groups=$s/placement
 mutant "answers without a seal pass" $relay/exchange.cpp \
-  's/return aFacts.mSealed \? "" : "unsealed_answer";/return "";/' relay_relay_test '*OnlyAWholeAnswer*'
+  's/return aMetadata.mSealed \? "" : "unsealed_answer";/return "";/' relay_relay_test '*OnlyAWholeAnswer*'
 mutant "another request's answer passes" $relay/exchange.cpp \
-  's/if \(!aFacts.mRequestId.empty\(\) \&\& aFacts.mRequestId != mFacts.mId\) \{/if (false) {/' relay_relay_test '*OnlyAWholeAnswer*'
+  's/if \(!aMetadata.mRequestId.empty\(\) \&\& aMetadata.mRequestId != mMetadata.mId\) \{/if (false) {/' relay_relay_test '*OnlyAWholeAnswer*'
 mutant "answers cut short pass" $relay/exchange.cpp \
   's/if \(!aEnd.mComplete\)/if (false)/' relay_relay_test '*OnlyAWholeAnswer*'
 mutant "a kept connection with bytes on it is used" $relay/connection_pool.cpp \
--- a/src/pepperbay/relay/attempt.cpp
+++ b/src/pepperbay/relay/attempt.cpp
@@ -53,7 +53,7 @@
       self->mConnectId = 0;
       if (!aConnection.mSocket) {
         self->mNotListening = aConnection.mNotListening;
-        self->Finish(false, aConnection.mWhy);
+        self->Finish(false, aConnection.mReason);
         return;
       }
       self->mSocket = std::move(aConnection.mSocket);
@@ -208,7 +208,7 @@
   end.mBadBytes = mBadBytes;
   end.mStale = mStale && mClosed;
   end.mNotListening = mNotListening;
-  end.mWhy = aWhy;
+  end.mReason = aWhy;
   if (aComplete) {
     ReturnToPool();
   } else {
--- a/src/pepperbay/relay/attempt.hpp
+++ b/src/pepperbay/relay/attempt.hpp
@@ -39,7 +39,7 @@
   /// request, and may accept it on a new connection.
   bool mStale = false;
   bool mNotListening = false; ///< no process listens at the engine's address, see EngineConnection
-  std::string mWhy;           ///< error; empty when complete
+  std::string mReason;        ///< error; empty when complete
 };
 
 struct AttemptEvents
--- a/src/pepperbay/relay/connecting.cpp
+++ b/src/pepperbay/relay/connecting.cpp
@@ -58,7 +58,7 @@
     return;
   }
   mDirect = FailureOf(aError);
-  mWhy = "connect: " + aError.message();
+  mReason = "connect: " + aError.message();
   OnPathFailed();
 }
 
@@ -203,7 +203,7 @@
 {
   EngineConnection connection;
   connection.mNotListening = aNotListening;
-  connection.mWhy = mWhy.empty() ? "connect: peers do not reach it" : mWhy;
+  connection.mReason = mReason.empty() ? "connect: peers do not reach it" : mReason;
   Finish(std::move(connection));
 }
 
@@ -213,7 +213,7 @@
   const TimePoint now = mConnector->Now();
   if (now >= mStartedAt + mConnector->mOptions.mTimeout) {
     EngineConnection connection;
-    connection.mWhy = mWhy.empty() ? "connect: no answer" : mWhy;
+    connection.mReason = mReason.empty() ? "connect: no answer" : mReason;
     Finish(std::move(connection));
     return;
   }
--- a/src/pepperbay/relay/connecting.hpp
+++ b/src/pepperbay/relay/connecting.hpp
@@ -53,7 +53,7 @@
   std::size_t mPeersToAsk = 1; ///< peers to ask in parallel at that time
   Direct mDirect = Direct::kNotStarted;
   TimePoint mDirectStartedAt{};
-  std::string mWhy; ///< error of the direct connection
+  std::string mReason; ///< error of the direct connection
   Socket mSocket;
   struct AskedPeer
   {
--- a/src/pepperbay/relay/engine_connector.hpp
+++ b/src/pepperbay/relay/engine_connector.hpp
@@ -47,7 +47,7 @@
   /// No process listens at the engine's address: two nodes that reach other engines were refused,
   /// or this one was if no second node can tell.
   bool mNotListening = false;
-  std::string mWhy; ///< error; empty when connected
+  std::string mReason; ///< error; empty when connected
 };
 
 struct EngineConnectorOptions
--- a/src/pepperbay/relay/exchange.cpp
+++ b/src/pepperbay/relay/exchange.cpp
@@ -49,13 +49,13 @@
     Refuse("stopping");
     return;
   }
-  const auto facts = mCore->mDialect.mReadRequest(mRequest.base());
-  if (!facts.has_value()) {
-    Answer(kBadRequest, "bad_request", facts.error().mDetail);
+  const auto metadata = mCore->mDialect.mReadRequest(mRequest.base());
+  if (!metadata.has_value()) {
+    Answer(kBadRequest, "bad_request", metadata.error().mDetail);
     return;
   }
-  mFacts = facts.value();
-  mLastEvent = mFacts.mLastEvent;
+  mMetadata = metadata.value();
+  mLastEvent = mMetadata.mLastEvent;
   mRoutes = plan->mRoutes;
   const auto text = [](boost::beast::string_view aView) {
     return std::string_view(aView.data(), aView.size());
@@ -66,19 +66,20 @@
     return;
   }
   mPriority = mRoute->mPriority;
-  mDeadlineAt = mArrived + std::min(mFacts.mDeadline.value_or(mRoute->mTimeout), mRoute->mTimeout);
+  mDeadlineAt =
+    mArrived + std::min(mMetadata.mDeadline.value_or(mRoute->mTimeout), mRoute->mTimeout);
   if (!CheckCustomer(*plan)) {
     return;
   }
   mKey = KeyOfRequest(
     mCustomer, text(mRequest[http::field::host]), text(mRequest.target()), mRequest.body());
-  mService = mRoutes->PickService(*mRoute, Hash64(mFacts.mId));
+  mService = mRoutes->PickService(*mRoute, Hash64(mMetadata.mId));
   if (mService == nullptr) {
     Refuse("no_service");
     return;
   }
-  mParts.reserve(mFacts.mPromptParts.size());
-  for (const auto& it : mFacts.mPromptParts) {
+  mParts.reserve(mMetadata.mPromptParts.size());
+  for (const auto& it : mMetadata.mPromptParts) {
     mParts.push_back({ it, KeyOfPromptPart(mCustomer, mService->mName, it) });
   }
   if (IsQuarantined()) {
@@ -88,7 +89,7 @@
   if (!mService->mPool) {
     mCore->mRetries.OnRequest(mService->mName);
   }
-  AllocateAndSend(false, [this](const std::string& aWhy) { Refuse(aWhy); });
+  AllocateAndSend(false, [this](const std::string& aReason) { Refuse(aReason); });
 }
 
 bool
@@ -102,7 +103,7 @@
     Refuse("keys_out_of_date");
     return false;
   }
-  const CustomerSpec* customer = mRoutes->CustomerOf(mFacts.mKey);
+  const CustomerSpec* customer = mRoutes->CustomerOf(mMetadata.mKey);
   if (customer == nullptr) {
     RefuseMiss(aPlan, kUnauthorized, "unknown_key", "the key belongs to no customer");
     return false;
@@ -128,31 +129,31 @@
 }
 
 std::string
-Exchange::HeadFault(const AnswerFacts& aFacts) const
+Exchange::HeadFault(const AnswerMetadata& aMetadata) const
 {
-  if (!aFacts.mRequestId.empty() && aFacts.mRequestId != mFacts.mId) {
+  if (!aMetadata.mRequestId.empty() && aMetadata.mRequestId != mMetadata.mId) {
     return "foreign_answer";
   }
-  if (aFacts.mNotRun) {
-    return aFacts.mOtherEngine ? "other_engine" : "engine_refused";
+  if (aMetadata.mNotRun) {
+    return aMetadata.mOtherEngine ? "other_engine" : "engine_refused";
   }
-  return aFacts.mSealed ? "" : "unsealed_answer";
+  return aMetadata.mSealed ? "" : "unsealed_answer";
 }
 
 void
-Exchange::NoteHead(const EngineDispatch& aDispatch, const AnswerFacts& aFacts)
+Exchange::NoteHead(const EngineDispatch& aDispatch, const AnswerMetadata& aMetadata)
 {
   const std::string& engine = aDispatch.mTarget.mEngine;
-  if (aFacts.mOtherEngine) {
+  if (aMetadata.mOtherEngine) {
     mCore->mBalancer.OnFault(engine, mCore->Now());
     return;
   }
-  NoteLimit(aDispatch, aFacts);
+  NoteLimit(aDispatch, aMetadata);
   if (!mService->mPool) {
     return;
   }
   RefusalBook& refusals = mCore->mBalancer.Refusals();
-  if (!aFacts.mNotRun) {
+  if (!aMetadata.mNotRun) {
     refusals.OnTaken(engine, aDispatch.mSentAt);
   } else if (refusals.OnRefused(engine, aDispatch.mSentAt, mCore->Now()) &&
              mCore->mHooks.mOnRefused) {
@@ -170,7 +171,7 @@
 const EngineDispatch*
 Exchange::DirectDispatch() const
 {
-  const bool waits = mPhase != Phase::kOver && !mPushing && mCurrent.mAttempt &&
+  const bool waits = mPhase != Phase::kFinished && !mPushing && mCurrent.mAttempt &&
                      mCurrent.mAttempt->Connected() && mCurrent.mAttempt->Peer().empty();
   return waits ? &mCurrent : nullptr;
 }
@@ -180,30 +181,30 @@
 {
   NoteHeard(&mCurrent);
   SettleStale(mCurrent, true);
-  const AnswerFacts facts = mCore->mDialect.mReadAnswer(aStatus, aFields);
-  const std::string fault = HeadFault(facts);
+  const AnswerMetadata metadata = mCore->mDialect.mReadAnswer(aStatus, aFields);
+  const std::string fault = HeadFault(metadata);
   if (fault == "foreign_answer") {
     ++mCore->mCounters.mForeignAnswers;
   }
-  NoteHead(mCurrent, facts);
+  NoteHead(mCurrent, metadata);
   if (!fault.empty()) {
-    if (facts.mNotRun) {
+    if (metadata.mNotRun) {
       mAsked.OnNotTaken(mCurrent.mTarget.mEngine);
     } else {
       NoteNonRepeatableFailure();
     }
-    OnFailure(fault, !facts.mNotRun);
+    OnFailure(fault, !metadata.mNotRun);
     return;
   }
-  TakeHead(aStatus, aFields, facts);
+  BeginAnswer(aStatus, aFields, metadata);
 }
 
 void
-Exchange::TakeHead(int aStatus, const HeaderFields& aFields, const AnswerFacts& aFacts)
+Exchange::BeginAnswer(int aStatus, const HeaderFields& aFields, const AnswerMetadata& aMetadata)
 {
   mMayHaveRun = true;
   mCurrent.mHeadAt = mCore->Now();
-  mCurrent.mAttempt->SetKeepAlive(aFacts.mKeepAlive);
+  mCurrent.mAttempt->SetKeepAlive(aMetadata.mKeepAlive);
   const bool events = mRoute->mKind == RequestKind::kStream && aStatus == kOk;
   if (!events && mStreamStarted) {
     OnFailure("resume_refused", true);
@@ -332,7 +333,7 @@
 {
   if (!aEnd.mComplete) {
     NoteEnd(&mCurrent, aEnd);
-    OnFailure(aEnd.mWhy, aEnd.mMayHaveRun);
+    OnFailure(aEnd.mReason, aEnd.mMayHaveRun);
     return;
   }
   if (mPhase == Phase::kWhole) {
--- a/src/pepperbay/relay/exchange.hpp
+++ b/src/pepperbay/relay/exchange.hpp
@@ -69,7 +69,7 @@
 /// A retry that is waiting until an engine can take the request.
 struct PendingRetry
 {
-  std::string mWhy; ///< why the last attempt failed
+  std::string mReason; ///< why the last attempt failed
   TimePoint mRetryAt{};
 };
 
@@ -82,10 +82,10 @@
 
   void Start();
   /// The caller's connection was closed: stops the work at the engine.
-  /// @param aWhy for the log
-  void OnCallerGone(const std::string& aWhy);
+  /// @param aReason for the log
+  void OnCallerGone(const std::string& aReason);
   /// @return the request's ID; empty until its headers are parsed.
-  const std::string& RequestId() const { return mFacts.mId; }
+  const std::string& RequestId() const { return mMetadata.mId; }
   /// Handles deadlines and other time-outs; called every tick.
   void Tick();
   /// Aborts the request because the process is about to exit.
@@ -100,14 +100,14 @@
     kWaiting,      ///< sent to an engine, no answer yet
     kWhole,        ///< a plain answer is being buffered
     kEvents,       ///< events are forwarded as they arrive
-    kOver,
+    kFinished,
   };
 
   bool CheckCustomer(const TrafficPlan& aPlan);
   /// Answers that the configuration lacks what the request names or, where a newer configuration
   /// may have it, that the request has not run.
   void RefuseMiss(const TrafficPlan& aPlan, int aStatus, const char* aReason, const char* aDetail);
-  using OnNoTarget = std::function<void(const std::string& aWhy)>;
+  using OnNoTarget = std::function<void(const std::string& aReason)>;
   /// Selects an engine and sends the request, or calls `aOtherwise` with the reason why none is
   /// available.
   /// @param aAgain this is a retry and draws on the retry budget
@@ -151,7 +151,7 @@
   void Launch(EngineDispatch* aDispatch);
   void OnDeadline();
   /// Notes that the connection to an engine could not be established.
-  void NoteUnreached(const EngineDispatch& aDispatch, const std::string& aWhy);
+  void NoteUnreached(const EngineDispatch& aDispatch, const std::string& aReason);
   /// @return whether the request may be sent to another engine.
   bool MayHedge() const;
   /// Sends a hedge to a second engine if the first one has been silent for too long.
@@ -159,25 +159,25 @@
   /// @return whether a stream may be moved now, if a slot is available.
   bool MayHedgeStream() const;
   /// Requests a slot at another replica, and sends the request there as well.
-  void HedgeStream(const std::string& aWhy);
+  void HedgeStream(const std::string& aReason);
   /// Sends a safe request to another engine of a plain service as well.
   void HedgeSafeRequest();
 
   // The hedge: a second dispatch while the first one is still pending.
-  void StartHedge(EngineDispatch aTo, const std::string& aWhy);
+  void StartHedge(EngineDispatch aTo, const std::string& aReason);
   void OnHedgeHead(int aStatus, const HeaderFields& aFields);
   void OnHedgeEnd(const AttemptEnd& aEnd);
   /// The hedge has failed; the first dispatch continues.
-  void DropHedge(const std::string& aWhy, bool aMayHaveRun);
+  void DropHedge(const std::string& aReason, bool aMayHaveRun);
   /// Abandons the first dispatch and makes the hedge the current one.
   void PromoteHedge();
   /// @return the state of the request for AfterFailure(). Precondition: no dispatch is pending.
   RequestProgress Progress() const;
   /// The last attempt has failed: sends the request again, waits until that is possible, or answers
   /// with an error.
-  void AfterAttempt(const std::string& aWhy, RequestProgress aProgress);
+  void AfterAttempt(const std::string& aReason, RequestProgress aProgress);
   /// Counts that no engine was found for resuming the request elsewhere.
-  void CountRefusedMove(const std::string& aWhy);
+  void CountRefusedMove(const std::string& aReason);
   /// Retries a request that no engine could take, once that is due.
   void TickPendingRetry();
   /// Releases the resources that are counted for a finished dispatch.
@@ -189,15 +189,15 @@
   /// Notes that bytes of the engine were received.
   void NoteHeard(EngineDispatch* aDispatch);
   /// Notes what the headers of an answer show about the engine.
-  void NoteHead(const EngineDispatch& aDispatch, const AnswerFacts& aFacts);
+  void NoteHead(const EngineDispatch& aDispatch, const AnswerMetadata& aMetadata);
   /// Notes the rate limit in the headers of an answer.
-  void NoteLimit(const EngineDispatch& aDispatch, const AnswerFacts& aFacts);
+  void NoteLimit(const EngineDispatch& aDispatch, const AnswerMetadata& aMetadata);
   /// Counts a dispatch to an engine that has a rate limit.
   void CountIfLimited(const EngineDispatch& aDispatch);
   /// @return why an answer with these headers must not be forwarded; empty if it may be.
-  std::string HeadFault(const AnswerFacts& aFacts) const;
+  std::string HeadFault(const AnswerMetadata& aMetadata) const;
   /// Handles the beginning of the current engine's answer.
-  void TakeHead(int aStatus, const HeaderFields& aFields, const AnswerFacts& aFacts);
+  void BeginAnswer(int aStatus, const HeaderFields& aFields, const AnswerMetadata& aMetadata);
   void OnBody(std::string_view aBytes);
   void OnEnd(const AttemptEnd& aEnd);
   /// @param aExplicitEnd see NoteCompleted()
@@ -241,7 +241,7 @@
   Duration QuarantineTimeLeft() const;
 
   /// The current attempt has failed.
-  void OnFailure(const std::string& aWhy, bool aMayHaveRun);
+  void OnFailure(const std::string& aReason, bool aMayHaveRun);
   /// Notes that the engine has failed a request that must not run twice.
   void NoteNonRepeatableFailure();
   void DropAttempt();
@@ -268,16 +268,16 @@
   bool IsHedgeTimedOut() const;
   bool IsCurrent(std::uint64_t aSerial) const
   {
-    return mPhase != Phase::kOver && mCurrent.mAttempt && mCurrent.mSerial == aSerial;
+    return mPhase != Phase::kFinished && mCurrent.mAttempt && mCurrent.mSerial == aSerial;
   }
   bool IsHedge(std::uint64_t aSerial) const
   {
-    return mPhase != Phase::kOver && mHedge && mHedge->mSerial == aSerial;
+    return mPhase != Phase::kFinished && mHedge && mHedge->mSerial == aSerial;
   }
   /// @return whether the dispatch's engine has restarted since, so that no answer will come.
   bool EngineRestarted(const EngineDispatch& aDispatch) const;
   void LogFailedAttempt(const EngineDispatch& aDispatch,
-                        const std::string& aWhy,
+                        const std::string& aReason,
                         bool aMayHaveRun,
                         const std::string& aNotAgain) const;
   /// Adds what is known about the replica of a dispatch, and the age of that information.
@@ -295,7 +295,7 @@
   void Cut(const std::string& aReason);
   /// Calls Over(). @return the caller's side for the end of the answer; null if the caller has gone
   CallerSide* Finish();
-  void Over();
+  void Release();
   void LogEnd(const char* aOutcome, const std::string& aReason) const;
 
   RelayCore* mCore;
@@ -303,7 +303,7 @@
   CallerRequest mRequest;
   TimePoint mArrived;
   TimePoint mDeadlineAt{};
-  RequestFacts mFacts;
+  RequestMetadata mMetadata;
   std::shared_ptr<const RouteTable> mRoutes; ///< keeps mRoute and mService alive
   const Route* mRoute = nullptr;
   const ServiceSpec* mService = nullptr;
--- a/src/pepperbay/relay/exchange_ends.cpp
+++ b/src/pepperbay/relay/exchange_ends.cpp
@@ -37,7 +37,7 @@
     TickPendingRetry();
     return;
   }
-  if (mPhase == Phase::kOver || !mCurrent.mAttempt) {
+  if (mPhase == Phase::kFinished || !mCurrent.mAttempt) {
     return; // a slot is granted or refused within some tens of milliseconds
   }
   const TimePoint now = mCore->Now();
@@ -118,7 +118,7 @@
 }
 
 void
-Exchange::OnFailure(const std::string& aWhy, bool aMayHaveRun)
+Exchange::OnFailure(const std::string& aReason, bool aMayHaveRun)
 {
   const bool reached = mCurrent.mAttempt && mCurrent.mAttempt->Connected();
   mMayHaveRun = mMayHaveRun || aMayHaveRun;
@@ -127,20 +127,20 @@
   }
   SettleStale(mCurrent, reached);
   if (!reached) {
-    NoteUnreached(mCurrent, aWhy);
+    NoteUnreached(mCurrent, aReason);
     ++mConnectFailures;
   }
   if (mHedge) {
-    LogFailedAttempt(mCurrent, aWhy, aMayHaveRun, "");
+    LogFailedAttempt(mCurrent, aReason, aMayHaveRun, "");
     Drop(&mCurrent);
     PromoteHedge();
     return;
   }
   mCurrent.mFailed = true;
   const RequestProgress progress = Progress();
-  LogFailedAttempt(mCurrent, aWhy, aMayHaveRun, WhyNotAgain(progress));
+  LogFailedAttempt(mCurrent, aReason, aMayHaveRun, WhyNotAgain(progress));
   DropAttempt();
-  AfterAttempt(aWhy, progress);
+  AfterAttempt(aReason, progress);
 }
 
 RequestProgress
@@ -172,50 +172,50 @@
     mPendingRetry.reset();
     OnDeadline();
   } else if (now >= mPendingRetry->mRetryAt) {
-    const std::string why = mPendingRetry->mWhy;
+    const std::string reason = mPendingRetry->mReason;
     mPendingRetry.reset();
-    AfterAttempt(why, Progress());
+    AfterAttempt(reason, Progress());
   }
 }
 
 void
-Exchange::NoteUnreached(const EngineDispatch& aDispatch, const std::string& aWhy)
+Exchange::NoteUnreached(const EngineDispatch& aDispatch, const std::string& aReason)
 {
-  ++mCore->mCounters.mConnectsFailed[aWhy];
+  ++mCore->mCounters.mConnectsFailed[aReason];
   // No engine received the request, so the attempt does not count towards the limit.
   mSent -= aDispatch.mRepeats ? 0 : 1;
   mAsked.OnUnreached(aDispatch.mTarget.mEngine);
 }
 
 void
-Exchange::AfterAttempt(const std::string& aWhy, RequestProgress aProgress)
+Exchange::AfterAttempt(const std::string& aReason, RequestProgress aProgress)
 {
   switch (AfterFailure(aProgress)) {
     case FailureStep::kSendAgain:
-      AllocateAndSend(mSent > 0, [this, aWhy, aProgress](const std::string& aNoTarget) {
-        LogFailedAttempt(mCurrent, aWhy, mMayHaveRun, aNoTarget);
+      AllocateAndSend(mSent > 0, [this, aReason, aProgress](const std::string& aNoTarget) {
+        LogFailedAttempt(mCurrent, aReason, mMayHaveRun, aNoTarget);
         RequestProgress last = aProgress;
         last.mHasTarget = false;
-        AfterAttempt(aWhy, last);
+        AfterAttempt(aReason, last);
       });
       return;
     case FailureStep::kWait:
       mPhase = Phase::kAwaitingSlot;
       CountRefusedMove(WhyNotAgain(aProgress));
-      mPendingRetry = PendingRetry{ aWhy, mCore->Now() + kSlotRetryDelay };
+      mPendingRetry = PendingRetry{ aReason, mCore->Now() + kSlotRetryDelay };
       return;
     case FailureStep::kRefuse:
-      Refuse(aWhy);
+      Refuse(aReason);
       return;
     case FailureStep::kFail:
       if (mFallback) {
         AnswerFallback("second attempt failed");
         return;
       }
-      Answer(kBadGateway, aWhy, "the engine's answer was lost; whether it ran is unknown");
+      Answer(kBadGateway, aReason, "the engine's answer was lost; whether it ran is unknown");
       return;
     case FailureStep::kCut:
-      Cut(aWhy);
+      Cut(aReason);
       return;
   }
 }
@@ -269,7 +269,7 @@
     // each gets a jitter, derived from its request ID.
     const Duration most = std::min(mCore->mOptions.mRetryJitter, Left() / kMaxWaitDivisor - after);
     constexpr std::uint64_t kParts = 1024;
-    const auto part = static_cast<Duration::rep>(Hash64(mFacts.mId) % kParts);
+    const auto part = static_cast<Duration::rep>(Hash64(mMetadata.mId) % kParts);
     after += std::max(Duration::zero(), most) * part / static_cast<Duration::rep>(kParts);
   }
   // A quarantined request is refused at every node, so an earlier retry is useless.
@@ -289,7 +289,7 @@
 Exchange::Finish()
 {
   CallerSide* caller = mCaller;
-  Over();
+  Release();
   return caller;
 }
 
@@ -300,12 +300,12 @@
 }
 
 void
-Exchange::Over()
+Exchange::Release()
 {
-  if (mPhase == Phase::kOver) {
+  if (mPhase == Phase::kFinished) {
     return;
   }
-  mPhase = Phase::kOver;
+  mPhase = Phase::kFinished;
   mPendingRetry.reset();
   if (mStale) {
     // No other connection has shown whether this engine has exited.
@@ -325,7 +325,7 @@
 void
 Exchange::Abort()
 {
-  if (mPhase == Phase::kOver) {
+  if (mPhase == Phase::kFinished) {
     return;
   }
   mMayHaveRun = mMayHaveRun || (mCurrent.mAttempt && mCurrent.mAttempt->MayHaveRun());
@@ -340,15 +340,15 @@
 }
 
 void
-Exchange::OnCallerGone(const std::string& aWhy)
+Exchange::OnCallerGone(const std::string& aReason)
 {
-  if (mPhase == Phase::kOver) {
+  if (mPhase == Phase::kFinished) {
     return;
   }
   ++mCore->mCounters.mCallerGone;
-  LogEnd("caller_gone", aWhy);
+  LogEnd("caller_gone", aReason);
   DropAttempt();
-  Over();
+  Release();
 }
 
 } // namespace pepperbay
--- a/src/pepperbay/relay/exchange_limits.cpp
+++ b/src/pepperbay/relay/exchange_limits.cpp
@@ -7,23 +7,23 @@
 namespace pepperbay {
 
 void
-Exchange::NoteLimit(const EngineDispatch& aDispatch, const AnswerFacts& aFacts)
+Exchange::NoteLimit(const EngineDispatch& aDispatch, const AnswerMetadata& aMetadata)
 {
-  const bool foreign = !aFacts.mRequestId.empty() && aFacts.mRequestId != mFacts.mId;
-  if (foreign || (!aFacts.mSealed && !aFacts.mNotRun)) {
+  const bool foreign = !aMetadata.mRequestId.empty() && aMetadata.mRequestId != mMetadata.mId;
+  if (foreign || (!aMetadata.mSealed && !aMetadata.mNotRun)) {
     return; // the sender of the answer cannot be verified
   }
-  if (aFacts.mBadLimit) {
+  if (aMetadata.mBadLimit) {
     ++mCore->mCounters.mBadLimits;
     mCore->Log("bad_engine_limit", { { "engine", aDispatch.mTarget.mEngine } });
   }
-  if (!aFacts.mLimit && (aFacts.mBadLimit || aFacts.mNotRun)) {
+  if (!aMetadata.mLimit && (aMetadata.mBadLimit || aMetadata.mNotRun)) {
     return; // no limit given: a refusal may omit it, and an unreadable limit is still a limit
   }
   const AttemptTarget& target = aDispatch.mTarget;
   mCore->mPlaces.OnStatement({ target.mEngine, target.mAddress, target.mDataCentre, target.mBorn },
                              aDispatch.mRate,
-                             { target.mBorn, aFacts.mLimit, aDispatch.mSentAt, mCore->Now() });
+                             { target.mBorn, aMetadata.mLimit, aDispatch.mSentAt, mCore->Now() });
 }
 
 void
--- a/src/pepperbay/relay/exchange_log.cpp
+++ b/src/pepperbay/relay/exchange_log.cpp
@@ -25,17 +25,17 @@
 
 void
 Exchange::LogFailedAttempt(const EngineDispatch& aDispatch,
-                           const std::string& aWhy,
+                           const std::string& aReason,
                            bool aMayHaveRun,
                            const std::string& aNotAgain) const
 {
   std::map<std::string, std::string> fields = {
-    { "request", mFacts.mId },
+    { "request", mMetadata.mId },
     { "key", ToString(mKey) },
     { "parts", ToString(mParts) },
     { "engine", aDispatch.mTarget.mEngine },
     { "by_peer", aDispatch.mAttempt ? aDispatch.mAttempt->Peer() : "" },
-    { "reason", aWhy },
+    { "reason", aReason },
     { "after_ms", Millis(mCore->Now() - aDispatch.mSentAt) },
     { "may_have_run", YesNo(aMayHaveRun) },
     { "last_event", mLastEvent ? std::to_string(*mLastEvent) : "" },
@@ -92,7 +92,7 @@
     return; // only counted; one line per request would hide the other lines
   }
   mCore->Log("request",
-             { { "request", mFacts.mId },
+             { { "request", mMetadata.mId },
                { "key", ToString(mKey) },
                { "parts", ToString(mParts) },
                { "outcome", aOutcome },
@@ -101,7 +101,7 @@
                { "engine", mCurrent.mTarget.mEngine },
                { "sent", std::to_string(mSent) },
                { "config", mRoutes ? std::to_string(mRoutes->Version()) : "" },
-               { "model", mFacts.mModel },
+               { "model", mMetadata.mModel },
                { "after_ms", Millis(mCore->Now() - mArrived) } });
 }
 
--- a/src/pepperbay/relay/exchange_second.cpp
+++ b/src/pepperbay/relay/exchange_second.cpp
@@ -143,18 +143,18 @@
 }
 
 void
-Exchange::CountRefusedMove(const std::string& aWhy)
+Exchange::CountRefusedMove(const std::string& aReason)
 {
   ++mMovesRefused;
-  ++mCore->mCounters.mMovesRefused[aWhy];
+  ++mCore->mCounters.mMovesRefused[aReason];
 }
 
 void
-Exchange::HedgeStream(const std::string& aWhy)
+Exchange::HedgeStream(const std::string& aReason)
 {
   mHedgePending = true;
   RequestSlot(true,
-              [self = shared_from_this(), serial = mCurrent.mSerial, aWhy](const Place& aPlace) {
+              [self = shared_from_this(), serial = mCurrent.mSerial, aReason](const Place& aPlace) {
                 self->mHedgePending = false;
                 if (aPlace.mOutcome != PlaceOutcome::kGranted) {
                   self->CountRefusedMove(ToString(aPlace.mOutcome));
@@ -171,7 +171,7 @@
                   self->mHedgeNotBefore = self->mCore->Now() + kSlotRetryDelay;
                   return;
                 }
-                self->StartHedge(DispatchTo(aPlace), aWhy);
+                self->StartHedge(DispatchTo(aPlace), aReason);
               });
 }
 
@@ -200,10 +200,10 @@
 }
 
 void
-Exchange::StartHedge(EngineDispatch aTo, const std::string& aWhy)
+Exchange::StartHedge(EngineDispatch aTo, const std::string& aReason)
 {
   mHedge = std::move(aTo);
-  mHedgeReason = aWhy;
+  mHedgeReason = aReason;
   Launch(&*mHedge);
 }
 
@@ -212,51 +212,52 @@
 {
   NoteHeard(&*mHedge);
   SettleStale(*mHedge, true);
-  const AnswerFacts facts = mCore->mDialect.mReadAnswer(aStatus, aFields);
+  const AnswerMetadata metadata = mCore->mDialect.mReadAnswer(aStatus, aFields);
   const bool events = mRoute->mKind == RequestKind::kStream && mStreamStarted;
-  std::string fault = HeadFault(facts);
+  std::string fault = HeadFault(metadata);
   if (fault.empty() && (aStatus >= kServerFailure || (events && aStatus != kOk))) {
     fault = "the second engine failed";
   }
-  NoteHead(*mHedge, facts);
+  NoteHead(*mHedge, metadata);
   if (!fault.empty()) {
-    if (facts.mNotRun) {
+    if (metadata.mNotRun) {
       mAsked.OnNotTaken(mHedge->mTarget.mEngine);
     } else {
       mCore->mBalancer.OnFault(mHedge->mTarget.mEngine, mCore->Now());
     }
-    DropHedge(fault, !facts.mNotRun);
+    DropHedge(fault, !metadata.mNotRun);
     return;
   }
   if (events) {
     // The caller already has the first engine's headers. The first engine to send another event
     // wins.
     mHedge->mHeadAt = mCore->Now();
-    mHedge->mAttempt->SetKeepAlive(facts.mKeepAlive);
+    mHedge->mAttempt->SetKeepAlive(metadata.mKeepAlive);
     mHedge->mAttempt->ReadMore();
     return;
   }
   PromoteHedge();
-  TakeHead(aStatus, aFields, facts);
+  BeginAnswer(aStatus, aFields, metadata);
 }
 
 void
 Exchange::OnHedgeEnd(const AttemptEnd& aEnd)
 {
   NoteEnd(&*mHedge, aEnd);
-  DropHedge(aEnd.mComplete ? "the second engine had no more events" : aEnd.mWhy, aEnd.mMayHaveRun);
+  DropHedge(aEnd.mComplete ? "the second engine had no more events" : aEnd.mReason,
+            aEnd.mMayHaveRun);
 }
 
 void
-Exchange::DropHedge(const std::string& aWhy, bool aMayHaveRun)
+Exchange::DropHedge(const std::string& aReason, bool aMayHaveRun)
 {
   const bool reached = mHedge->mAttempt->Connected();
   const bool stale = mHedge->mStale;
   mMayHaveRun = mMayHaveRun || aMayHaveRun;
-  LogFailedAttempt(*mHedge, aWhy, aMayHaveRun, "");
+  LogFailedAttempt(*mHedge, aReason, aMayHaveRun, "");
   SettleStale(*mHedge, reached);
   if (!reached) {
-    NoteUnreached(*mHedge, aWhy);
+    NoteUnreached(*mHedge, aReason);
     mTried.erase(mHedge->mTarget.mEngine); // the engine may only pause
     mUnreached.insert(mHedge->mTarget.mEngine);
   }
--- a/src/pepperbay/relay/exchange_sending.cpp
+++ b/src/pepperbay/relay/exchange_sending.cpp
@@ -79,11 +79,11 @@
     return request;
   }
   const EnginePool& pool = *mService->mPool;
-  const ModelSpec* model = pool.FindModel(mFacts.mModel);
-  const double seconds = std::max(0.0, mFacts.mPromptTokens) /
+  const ModelSpec* model = pool.FindModel(mMetadata.mModel);
+  const double seconds = std::max(0.0, mMetadata.mPromptTokens) /
                          std::max(1.0, pool.mPromptTokensPerSecond) *
                          (model == nullptr ? 1.0 : model->mPace);
-  request.mModel = mFacts.mModel;
+  request.mModel = mMetadata.mModel;
   request.mWork = std::chrono::duration_cast<Duration>(std::chrono::duration<double>(seconds));
   request.mObjective = mStreamStarted || aAgain ? Duration::zero() : mRoute->mObjective;
   return request;
@@ -95,12 +95,12 @@
   mCore->mPlaces.Ask(
     MakeSlotRequest(aAgain),
     [self = shared_from_this(), done = std::move(aDone)](const Place& aPlace) {
-      if (aPlace.mOutcome != PlaceOutcome::kNoBudget || self->mPhase == Phase::kOver) {
+      if (aPlace.mOutcome != PlaceOutcome::kNoBudget || self->mPhase == Phase::kFinished) {
         done(aPlace);
         return;
       }
       self->mCore->mRetries.Ask(self->mService->mName, [self, done, aPlace](bool aGranted) {
-        if (!aGranted || self->mPhase == Phase::kOver) {
+        if (!aGranted || self->mPhase == Phase::kFinished) {
           done(aPlace);
           return;
         }
@@ -134,7 +134,7 @@
   }
   mPhase = Phase::kAwaitingSlot;
   mCore->mRetries.Ask(mService->mName, [self = shared_from_this(), aOtherwise](bool aGranted) {
-    if (self->mPhase == Phase::kOver) {
+    if (self->mPhase == Phase::kFinished) {
       return; // the caller has disconnected
     }
     if (!aGranted) {
@@ -159,7 +159,7 @@
   }
   mPhase = Phase::kAwaitingSlot;
   RequestSlot(aAgain, [self = shared_from_this(), aOtherwise](const Place& aPlace) {
-    if (self->mPhase == Phase::kOver) {
+    if (self->mPhase == Phase::kFinished) {
       self->mCore->mPlaces.End(aPlace.mTicket); // the caller has disconnected
       return;
     }
@@ -271,7 +271,8 @@
     return balancer.PickEngine(plan, mService->mName, aExcluded, !mRoute->Repeatable(), now) !=
            nullptr;
   }
-  return balancer.PickReplica(plan, *mService, mFacts.mModel, aExcluded, now).mReplica != nullptr;
+  return balancer.PickReplica(plan, *mService, mMetadata.mModel, aExcluded, now).mReplica !=
+         nullptr;
 }
 
 bool
--- a/src/pepperbay/relay/exchange_suspect.cpp
+++ b/src/pepperbay/relay/exchange_suspect.cpp
@@ -73,7 +73,7 @@
                                        : !mService->mPool.has_value();
   const Suspicion suspicion = begun ? Suspicion::kBegun : Suspicion::kPresent;
   const bool once = !mService->mPool && !mRoute->Repeatable();
-  return { mKey, mFacts.mId, mParts, suspicion, now, !aDispatch.mGroup.empty(), once };
+  return { mKey, mMetadata.mId, mParts, suspicion, now, !aDispatch.mGroup.empty(), once };
 }
 
 void
--- a/src/pepperbay/relay/relay.cpp
+++ b/src/pepperbay/relay/relay.cpp
@@ -35,7 +35,7 @@
   RelayImpl(asio::io_context& aContext, RelayOptions aOptions, Dialect aDialect, RelayHooks aHooks)
     : mCore(aContext, std::move(aOptions), std::move(aDialect), std::move(aHooks))
     , mListener(aContext,
-                { [this](Socket aSocket) { Take(std::move(aSocket)); },
+                { [this](Socket aSocket) { OnAccepted(std::move(aSocket)); },
                   [this](const std::string& aDetail) {
                     mCore.Log("accept_failed", { { "detail", aDetail } });
                   } })
@@ -136,7 +136,7 @@
     }
   }
 
-  void Take(Socket aSocket)
+  void OnAccepted(Socket aSocket)
   {
     if (!mGate.Takes(mCore.mSessions.size(), mCore.Now())) {
       ++mCore.mCounters.mClosedUnread;
--- a/src/pepperbay/relay/relay_fixture.hpp
+++ b/src/pepperbay/relay/relay_fixture.hpp
@@ -33,21 +33,21 @@
     const auto value = aFields[aName];
     return std::string(value.data(), value.size());
   };
-  dialect.mReadRequest = [text](const HeaderFields& aFields) -> Result<RequestFacts> {
-    RequestFacts facts;
-    facts.mId = text(aFields, "Req");
-    facts.mModel = text(aFields, "Model");
-    facts.mKey = text(aFields, "Key");
+  dialect.mReadRequest = [text](const HeaderFields& aFields) -> Result<RequestMetadata> {
+    RequestMetadata metadata;
+    metadata.mId = text(aFields, "Req");
+    metadata.mModel = text(aFields, "Model");
+    metadata.mKey = text(aFields, "Key");
     if (const std::string part = text(aFields, "Part"); !part.empty()) {
-      facts.mPromptParts = { part };
+      metadata.mPromptParts = { part };
     }
     if (const std::string left = text(aFields, "Left-Ms"); !left.empty()) {
-      facts.mDeadline = std::chrono::milliseconds(std::stoi(left));
+      metadata.mDeadline = std::chrono::milliseconds(std::stoi(left));
     }
     if (!text(aFields, "Bad").empty()) {
       return Error{ Errc::kInvalid, "request.decode", "caller", "bad" };
     }
-    return facts;
+    return metadata;
   };
   dialect.mStampRequest = [](const RequestStamp& aStamp, HeaderFields* aFields) {
     aFields->erase("Key");
@@ -59,16 +59,16 @@
     }
   };
   dialect.mReadAnswer = [text](int /*aStatus*/, const HeaderFields& aFields) {
-    AnswerFacts facts;
-    facts.mSealed = !text(aFields, "Seal").empty();
-    facts.mNotRun = !text(aFields, "Not-Run").empty();
-    facts.mRequestId = text(aFields, "Req");
+    AnswerMetadata metadata;
+    metadata.mSealed = !text(aFields, "Seal").empty();
+    metadata.mNotRun = !text(aFields, "Not-Run").empty();
+    metadata.mRequestId = text(aFields, "Req");
     const std::string limit = text(aFields, "Limit");
-    facts.mBadLimit = limit == "bad";
-    if (!limit.empty() && !facts.mBadLimit) {
-      facts.mLimit = std::stod(limit);
+    metadata.mBadLimit = limit == "bad";
+    if (!limit.empty() && !metadata.mBadLimit) {
+      metadata.mLimit = std::stod(limit);
     }
-    return facts;
+    return metadata;
   };
   return dialect;
 }
