--- a/scripts/mutants/shared_pool.sh
+++ b/scripts/mutants/shared_pool.sh
@@ -29,7 +29,7 @@
 mutant "second attempts without a budget" $s/retries/retry_agent.cpp \
   's/const bool granted = mOwn.Take.*/const bool granted = true;/; s/return EarnedOf\(aService\).MayTake.*/return true || EarnedOf(aService).MayTake(now) ||/' relay_relay_test '*WithinTheBudget*'
 mutant "the caller's deadline is passed on as it came" $relay/exchange_sending.cpp \
-  's/std::max<Duration>\(Left\(\) - kDeadlineMargin, /std::max<Duration>(mDeadlineAt - mArrived, /' \
+  's/std::max<Duration>\(TimeLeft\(\) - kDeadlineMargin, /std::max<Duration>(mDeadlineAt - mArrived, /' \
   relay_relay_test '*LessTime*'
 mutant "a caller that left is not noticed" $relay/session.cpp \
   's/Peek\(self->mSocket\) == PeekResult::kClosed/false/' relay_relay_test '*ACallerThatLeaves*'
--- a/src/pepperbay/relay/exchange.cpp
+++ b/src/pepperbay/relay/exchange.cpp
@@ -25,7 +25,7 @@
 } // namespace
 
 Exchange::Exchange(RelayCore* aCore,
-                   CallerSide* aCaller,
+                   AnswerWriter* aCaller,
                    CallerRequest aRequest,
                    TimePoint aArrived)
   : mCore(aCore)
@@ -210,7 +210,7 @@
     OnFailure("resume_refused", true);
     return;
   }
-  mPhase = events ? Phase::kEvents : Phase::kWhole;
+  mPhase = events ? Phase::kStreaming : Phase::kBuffering;
   if (!mStreamStarted) {
     mStatus = aStatus;
     mFields = aFields;
@@ -226,7 +226,7 @@
 Exchange::OnBody(std::string_view aBytes)
 {
   NoteHeard(&mCurrent);
-  if (mPhase == Phase::kEvents) {
+  if (mPhase == Phase::kStreaming) {
     ForwardEvents(aBytes);
     return;
   }
@@ -336,8 +336,8 @@
     OnFailure(aEnd.mReason, aEnd.mMayHaveRun);
     return;
   }
-  if (mPhase == Phase::kWhole) {
-    OnWholeAnswer(!aEnd.mByClose);
+  if (mPhase == Phase::kBuffering) {
+    OnCompleteAnswer(!aEnd.mByClose);
     return;
   }
   if (mSplitter.HasPartial()) {
@@ -361,7 +361,7 @@
 }
 
 void
-Exchange::OnWholeAnswer(bool aExplicitEnd)
+Exchange::OnCompleteAnswer(bool aExplicitEnd)
 {
   CallerAnswer answer;
   static_cast<HeaderFields&>(answer.base()) = mFields;
@@ -393,7 +393,7 @@
   mCore->mCounters.mWholeAnswer.Observe(mCore->Now() - mArrived);
   ++mCore->mCounters.mAnswered;
   LogEnd("answered", "");
-  Finish()->SendWhole(std::move(answer));
+  Finish()->SendAnswer(std::move(answer));
 }
 
 void
--- a/src/pepperbay/relay/exchange.hpp
+++ b/src/pepperbay/relay/exchange.hpp
@@ -19,19 +19,19 @@
 using CallerRequest = boost::beast::http::request<boost::beast::http::string_body>;
 using CallerAnswer = boost::beast::http::response<boost::beast::http::string_body>;
 
-/// Sends the answer to the caller: either one `SendWhole()`, or `StartStream()`, any number of
-/// `Push()` and then one `EndStream()` or `Break()`.
-class CallerSide
+/// Sends the answer to the caller: either one `SendAnswer()`, or `StartStream()`, any number of
+/// `Push()` and then one `EndStream()` or `AbortStream()`.
+class AnswerWriter
 {
 public:
-  virtual ~CallerSide() = default;
-  virtual void SendWhole(CallerAnswer aAnswer) = 0;
+  virtual ~AnswerWriter() = default;
+  virtual void SendAnswer(CallerAnswer aAnswer) = 0;
   virtual void StartStream(int aStatus, const HeaderFields& aFields) = 0;
   /// @param aDone called when the bytes are written and more may follow
   virtual void Push(const std::string& aBytes, std::function<void()> aDone) = 0;
   virtual void EndStream() = 0;
   /// Aborts the connection, so that the answer cannot look complete.
-  virtual void Break() = 0;
+  virtual void AbortStream() = 0;
 };
 
 /// One dispatch of a request to one engine.
@@ -78,7 +78,7 @@
 class Exchange : public std::enable_shared_from_this<Exchange>
 {
 public:
-  Exchange(RelayCore* aCore, CallerSide* aCaller, CallerRequest aRequest, TimePoint aArrived);
+  Exchange(RelayCore* aCore, AnswerWriter* aCaller, CallerRequest aRequest, TimePoint aArrived);
 
   void Start();
   /// The caller's connection was closed: stops the work at the engine.
@@ -98,8 +98,8 @@
   {
     kAwaitingSlot, ///< waits for a slot at a replica
     kWaiting,      ///< sent to an engine, no answer yet
-    kWhole,        ///< a plain answer is being buffered
-    kEvents,       ///< events are forwarded as they arrive
+    kBuffering,    ///< a plain answer is being buffered
+    kStreaming,    ///< events are forwarded as they arrive
     kFinished,
   };
 
@@ -183,7 +183,7 @@
   /// Releases the resources that are counted for a finished dispatch.
   void EndCounts(EngineDispatch* aDispatch);
   UpstreamRequest MakeUpstreamRequest(const AttemptTarget& aTarget) const;
-  Duration Left() const { return mDeadlineAt - mCore->Now(); }
+  Duration TimeLeft() const { return mDeadlineAt - mCore->Now(); }
 
   void OnHead(int aStatus, const HeaderFields& aFields);
   /// Notes that bytes of the engine were received.
@@ -201,7 +201,7 @@
   void OnBody(std::string_view aBytes);
   void OnEnd(const AttemptEnd& aEnd);
   /// @param aExplicitEnd see NoteCompleted()
-  void OnWholeAnswer(bool aExplicitEnd);
+  void OnCompleteAnswer(bool aExplicitEnd);
   void ForwardEvents(std::string_view aBytes);
   /// Updates the count of buffered bytes. @return whether they are within the limits
   bool CountBuffered();
@@ -294,12 +294,12 @@
   /// Aborts an answer that has begun, so that it cannot look complete.
   void Cut(const std::string& aReason);
   /// Calls Over(). @return the caller's side for the end of the answer; null if the caller has gone
-  CallerSide* Finish();
+  AnswerWriter* Finish();
   void Release();
   void LogEnd(const char* aOutcome, const std::string& aReason) const;
 
   RelayCore* mCore;
-  CallerSide* mCaller; ///< null once the caller has gone
+  AnswerWriter* mCaller; ///< null once the caller has gone
   CallerRequest mRequest;
   TimePoint mArrived;
   TimePoint mDeadlineAt{};
@@ -328,9 +328,9 @@
   std::optional<PendingRetry> mPendingRetry;
   int mSent = 0; ///< dispatches, without repeats after a stale connection
   int mConnectFailures = 0;
-  Duration mLimitedFor{ 0 }; ///< time until engines with free slots are below their rate limit
-  bool mAllFull = false;     ///< all replicas were at capacity when a slot was requested
-  bool mInterrupted = false; ///< an engine closed the connection during the request
+  Duration mRateLimitedFor{ 0 }; ///< time until engines with free slots are below their rate limit
+  bool mAllFull = false;         ///< all replicas were at capacity when a slot was requested
+  bool mInterrupted = false;     ///< an engine closed the connection during the request
   bool mMayHaveRun = false;
 
   int mStatus = 0;
--- a/src/pepperbay/relay/exchange_ends.cpp
+++ b/src/pepperbay/relay/exchange_ends.cpp
@@ -153,7 +153,7 @@
   const bool again = StaleEngine() != nullptr || !RepeatableEngines().empty();
   progress.mSent = mAsked.Count() - (again ? 1 : 0);
   progress.mMostSent = mRoute->mMaxAttempts;
-  progress.mLeft = Left();
+  progress.mLeft = TimeLeft();
   progress.mHasTarget = mConnectFailures < kMaxConnectFailures && HasTarget();
   progress.mHasBudget = mSent == 0 || HasBudget();
   progress.mHeldBack = IsQuarantined();
@@ -225,7 +225,7 @@
 {
   ++mCore->mCounters.mAnswered;
   LogEnd("answered", aReason);
-  Finish()->SendWhole(std::move(*mFallback));
+  Finish()->SendAnswer(std::move(*mFallback));
 }
 
 void
@@ -253,8 +253,8 @@
   answer.body() = body.dump(-1, ' ', false, nlohmann::json::error_handler_t::replace);
   answer.prepare_payload();
   LogEnd(aStatus == kUnavailable ? "refused" : "failed", aReason);
-  if (CallerSide* caller = Finish()) {
-    caller->SendWhole(std::move(answer));
+  if (AnswerWriter* caller = Finish()) {
+    caller->SendAnswer(std::move(answer));
   }
 }
 
@@ -262,12 +262,13 @@
 Exchange::RetryAfter() const
 {
   Duration after = mCore->mOptions.mRetryAfter;
-  if (mLimitedFor > Duration::zero()) {
-    after = mLimitedFor; // the node that counts the limit has already spread the retries
+  if (mRateLimitedFor > Duration::zero()) {
+    after = mRateLimitedFor; // the node that counts the limit has already spread the retries
   } else if (mAllFull) {
     // Callers that are refused together and return together would find the replicas full again. So
     // each gets a jitter, derived from its request ID.
-    const Duration most = std::min(mCore->mOptions.mRetryJitter, Left() / kMaxWaitDivisor - after);
+    const Duration most =
+      std::min(mCore->mOptions.mRetryJitter, TimeLeft() / kMaxWaitDivisor - after);
     constexpr std::uint64_t kParts = 1024;
     const auto part = static_cast<Duration::rep>(Hash64(mMetadata.mId) % kParts);
     after += std::max(Duration::zero(), most) * part / static_cast<Duration::rep>(kParts);
@@ -282,13 +283,13 @@
   ++mCore->mCounters.mCut;
   ++mCore->mCounters.mReasons[aReason];
   LogEnd("cut", aReason);
-  Finish()->Break();
+  Finish()->AbortStream();
 }
 
-CallerSide*
+AnswerWriter*
 Exchange::Finish()
 {
-  CallerSide* caller = mCaller;
+  AnswerWriter* caller = mCaller;
   Release();
   return caller;
 }
--- a/src/pepperbay/relay/exchange_second.cpp
+++ b/src/pepperbay/relay/exchange_second.cpp
@@ -282,7 +282,7 @@
   mHedge.reset();
   mBody.clear();
   mSplitter.Reset();
-  mPhase = mStreamStarted ? Phase::kEvents : Phase::kWaiting;
+  mPhase = mStreamStarted ? Phase::kStreaming : Phase::kWaiting;
 }
 
 } // namespace pepperbay
--- a/src/pepperbay/relay/exchange_sending.cpp
+++ b/src/pepperbay/relay/exchange_sending.cpp
@@ -164,7 +164,7 @@
       return;
     }
     self->mAllFull = aPlace.mOutcome == PlaceOutcome::kFull;
-    self->mLimitedFor = aPlace.mRetryAfter;
+    self->mRateLimitedFor = aPlace.mRetryAfter;
     if (aPlace.mOutcome != PlaceOutcome::kGranted) {
       aOtherwise(ToString(aPlace.mOutcome));
       return;
@@ -295,7 +295,7 @@
   DropHopByHop(&request);
   request.erase(http::field::expect);
   RequestStamp stamp;
-  stamp.mDeadline = std::max<Duration>(Left() - kDeadlineMargin, std::chrono::milliseconds(1));
+  stamp.mDeadline = std::max<Duration>(TimeLeft() - kDeadlineMargin, std::chrono::milliseconds(1));
   stamp.mEngine = aTarget.mEngine;
   stamp.mCustomer = mCustomer;
   stamp.mLastEvent = mLastEvent;
--- a/src/pepperbay/relay/relay.cpp
+++ b/src/pepperbay/relay/relay.cpp
@@ -120,7 +120,7 @@
     }
     mCore.mStopping = true;
     mStopAt = mCore.Now();
-    mStopped = std::move(aDone);
+    mOnStopped = std::move(aDone);
   }
 
 private:
@@ -164,11 +164,11 @@
   void OnTick()
   {
     const TimePoint now = mCore.Now();
-    if (mTickedAt != TimePoint{}) {
-      const Duration late = std::max(Duration::zero(), now - mTickedAt - mCore.mOptions.mTick);
+    if (mLastTickAt != TimePoint{}) {
+      const Duration late = std::max(Duration::zero(), now - mLastTickAt - mCore.mOptions.mTick);
       mLag = (mLag * (kLagWeight - 1) + late) / kLagWeight;
     }
-    mTickedAt = now;
+    mLastTickAt = now;
     mGate.OnTick(mLag, now);
     LogClosedUnread(now);
     AcceptWhenPlanKnown();
@@ -222,7 +222,7 @@
   void TickStop(TimePoint aNow)
   {
     const Duration since = aNow - mStopAt;
-    if (!mStopped || since < mCore.mOptions.mStopGrace) {
+    if (!mOnStopped || since < mCore.mOptions.mStopGrace) {
       return;
     }
     if (mListener.IsOpen()) {
@@ -246,7 +246,7 @@
     }
     const bool carries = mCore.mCounters.mTunnels.mOpen > 0;
     if ((mCore.mSessions.empty() && !carries) || last) {
-      std::exchange(mStopped, nullptr)();
+      std::exchange(mOnStopped, nullptr)();
     }
   }
 
@@ -269,14 +269,14 @@
   SilenceWatch mSilence{ &mCore };
   std::unique_ptr<TunnelServer> mTunnels;
   Duration mLag{ 0 }; ///< lag of this thread, moving average
-  TimePoint mTickedAt{};
+  TimePoint mLastTickAt{};
   Listener mListener;
   Timer mTimer;
   unsigned mTicks = 0;
   TimePoint mListeningSince{};
   bool mAccepting = false;
   TimePoint mStopAt{};
-  std::function<void()> mStopped;
+  std::function<void()> mOnStopped;
 };
 
 } // namespace
--- a/src/pepperbay/relay/session.cpp
+++ b/src/pepperbay/relay/session.cpp
@@ -172,7 +172,7 @@
   answer.set(http::field::content_type, "application/json");
   answer.body() = R"({"error":{"reason":"bad_http","ran":"no"}})";
   answer.prepare_payload();
-  SendWhole(std::move(answer));
+  SendAnswer(std::move(answer));
 }
 
 void
@@ -202,7 +202,7 @@
 }
 
 void
-Session::SendWhole(CallerAnswer aAnswer)
+Session::SendAnswer(CallerAnswer aAnswer)
 {
   if (!mOpen) {
     return;
@@ -270,7 +270,7 @@
 }
 
 void
-Session::Break()
+Session::AbortStream()
 {
   if (!mChunked) {
     ResetOnClose(mSocket); // without chunks, an orderly close would mark the answer as complete
--- a/src/pepperbay/relay/session.hpp
+++ b/src/pepperbay/relay/session.hpp
@@ -11,7 +11,7 @@
 namespace pepperbay {
 
 class Session
-  : public CallerSide
+  : public AnswerWriter
   , public std::enable_shared_from_this<Session>
 {
 public:
@@ -25,11 +25,11 @@
   /// @param aWhy for the log: which side closes, or the error
   void Close(const std::string& aWhy);
 
-  void SendWhole(CallerAnswer aAnswer) override;
+  void SendAnswer(CallerAnswer aAnswer) override;
   void StartStream(int aStatus, const HeaderFields& aFields) override;
   void Push(const std::string& aBytes, std::function<void()> aDone) override;
   void EndStream() override;
-  void Break() override;
+  void AbortStream() override;
 
 private:
   using Parser = boost::beast::http::request_parser<boost::beast::http::string_body>;
