--- a/scripts/mutants/reach.sh
+++ b/scripts/mutants/reach.sh
@@ -48,7 +48,7 @@
 mutant "a peer that is cut as well counts as one that works" $s/relay/connecting.cpp \
   's/SaysEngineIsAway\(aTunnel.mAnswer, aTunnel.mSight\)/SaysEngineIsAway(aTunnel.mAnswer, true)/' relay_relay_peers_test '*cut_reset*'
 mutant "a peer that says nothing is asked again first" $s/relay/connecting.cpp \
-  's/asked.mAt >= mConnector->mOptions.mPeerAfter/asked.mAt >= std::chrono::hours(1)/' relay_relay_peers_test '*frozen_reset*'
+  's/asked.mAt >= mConnector->mOptions.mTunnelDelay/asked.mAt >= std::chrono::hours(1)/' relay_relay_peers_test '*frozen_reset*'
 mutant "three peers are asked and no more" $s/relay/connecting.cpp \
   's/fails \&\& mFailedPeersAsked >= /mAsked.size() >= /' relay_relay_peers_test '*gone_silent*'
 mutant "one more peer is asked at a time" $s/relay/connecting.cpp \
--- a/src/pepperbay/relay/connecting.cpp
+++ b/src/pepperbay/relay/connecting.cpp
@@ -27,7 +27,7 @@
 void
 ConnectOperation::Start()
 {
-  mNextPeerAt = mStartedAt + mConnector->mOptions.mPeerAfter;
+  mNextPeerAt = mStartedAt + mConnector->mOptions.mTunnelDelay;
   if (mConnector->WayTo(mEngine.mEngine) == Way::kDirect || !AskMorePeers()) {
     StartDirect();
   }
@@ -86,7 +86,7 @@
   mFailedPeersAsked += fails ? 1 : 0;
   mAsked.insert(peer->mNode);
   mConnector->mPeers.OnAsked(peer->mNode);
-  mNextPeerAt = now + mConnector->mOptions.mPeerAfter;
+  mNextPeerAt = now + mConnector->mOptions.mTunnelDelay;
   TunnelRequest request;
   request.mEngine = mEngine.mEngine;
   request.mFrom = mConnector->mOptions.mNode;
@@ -102,7 +102,7 @@
         self->OnPeer(name, std::move(aTunnel));
       }
     });
-  mOpenings[peer->mNode] = { std::move(cancel), now };
+  mPendingTunnels[peer->mNode] = { std::move(cancel), now };
   return true;
 }
 
@@ -120,7 +120,7 @@
 void
 ConnectOperation::OnPeer(const std::string& aPeer, OpenedTunnel aTunnel)
 {
-  mOpenings.erase(aPeer);
+  mPendingTunnels.erase(aPeer);
   const bool away = SaysEngineIsAway(aTunnel.mAnswer, aTunnel.mSight);
   if (away || aTunnel.mSocket) {
     mConnector->mPeers.OnWorked(aPeer);
@@ -150,14 +150,14 @@
 ConnectOperation::IsPathFault() const
 {
   const bool hangs = mDirect == Direct::kPending &&
-                     mConnector->Now() - mDirectStartedAt >= mConnector->mOptions.mPeerAfter;
+                     mConnector->Now() - mDirectStartedAt >= mConnector->mOptions.mTunnelDelay;
   return hangs || mDirect == Direct::kRefused || mDirect == Direct::kFailed;
 }
 
 void
 ConnectOperation::OnPathFailed()
 {
-  if (!mOpenings.empty()) {
+  if (!mPendingTunnels.empty()) {
     return; // a pending tunnel may still be established
   }
   if (mDirect == Direct::kPending) {
@@ -218,7 +218,7 @@
     return;
   }
   if (now >= mNextPeerAt) {
-    const TimePoint next = mNextPeerAt + mConnector->mOptions.mPeerAfter;
+    const TimePoint next = mNextPeerAt + mConnector->mOptions.mTunnelDelay;
     if (!AskMorePeers() && mDirect == Direct::kNotStarted) {
       StartDirect();
     }
@@ -229,9 +229,9 @@
 void
 ConnectOperation::Finish(EngineConnection aConnection)
 {
-  for (auto& [peer, asked] : std::exchange(mOpenings, {})) {
+  for (auto& [peer, asked] : std::exchange(mPendingTunnels, {})) {
     asked.mCancel();
-    if (mConnector->Now() - asked.mAt >= mConnector->mOptions.mPeerAfter) {
+    if (mConnector->Now() - asked.mAt >= mConnector->mOptions.mTunnelDelay) {
       mConnector->mPeers.OnFailed(peer, mConnector->Now());
     }
   }
@@ -245,7 +245,7 @@
 ConnectOperation::Cancel()
 {
   mDone = nullptr;
-  for (auto& [peer, asked] : std::exchange(mOpenings, {})) {
+  for (auto& [peer, asked] : std::exchange(mPendingTunnels, {})) {
     asked.mCancel();
   }
   CloseNow(mSocket);
--- a/src/pepperbay/relay/connecting.hpp
+++ b/src/pepperbay/relay/connecting.hpp
@@ -60,11 +60,11 @@
     std::function<void()> mCancel;
     TimePoint mAt{};
   };
-  std::map<std::string, AskedPeer> mOpenings; ///< pending tunnels, by peer
-  std::set<std::string> mAsked;               ///< peers asked so far
-  std::size_t mFailedPeersAsked = 0;          ///< asked peers that had failed recently
-  int mAwayReports = 0;                       ///< peers that reach others, but not this engine
-  int mRefusals = 0;                          ///< of these, peers that the engine refused
+  std::map<std::string, AskedPeer> mPendingTunnels; ///< pending tunnels, by peer
+  std::set<std::string> mAsked;                     ///< peers asked so far
+  std::size_t mFailedPeersAsked = 0;                ///< asked peers that had failed recently
+  int mAwayReports = 0; ///< peers that reach others, but not this engine
+  int mRefusals = 0;    ///< of these, peers that the engine refused
 };
 
 } // namespace pepperbay
--- a/src/pepperbay/relay/engine_connector.cpp
+++ b/src/pepperbay/relay/engine_connector.cpp
@@ -252,7 +252,7 @@
     if (const auto other = NextToProbe(mProbedForFaults)) {
       mProbedForFaults.insert(other->mEngine);
       ++mFaultProbes;
-      ProbeDirect(*other, mOptions.mPeerAfter, [this](bool /*aConnected*/) {
+      ProbeDirect(*other, mOptions.mTunnelDelay, [this](bool /*aConnected*/) {
         if (--mFaultProbes == 0) {
           RecordPendingFaults();
         }
--- a/src/pepperbay/relay/engine_connector.hpp
+++ b/src/pepperbay/relay/engine_connector.hpp
@@ -57,7 +57,7 @@
   Duration mTimeout = std::chrono::milliseconds(120);
   /// A peer is asked for a tunnel if no connection is established after this time. Several round
   /// trips between data centres.
-  Duration mPeerAfter = std::chrono::milliseconds(20);
+  Duration mTunnelDelay = std::chrono::milliseconds(20);
   /// First interval between probes of a silent engine whose path was found to work. It doubles with
   /// each probe up to the limit below, as long as the engine stays silent.
   Duration mProbeInterval = std::chrono::milliseconds(500);
--- a/src/pepperbay/relay/event_splitter.cpp
+++ b/src/pepperbay/relay/event_splitter.cpp
@@ -8,19 +8,19 @@
 
 constexpr std::size_t kCompactAt = 4096; // consumed bytes, after which the buffer is compacted
 
-constexpr std::string_view kUnix = "\n\n";
-constexpr std::string_view kInternet = "\r\n\r\n";
+constexpr std::string_view kLfEnd = "\n\n";
+constexpr std::string_view kCrlfEnd = "\r\n\r\n";
 
 /// @return the offset after the empty line that ends the first event; npos if there is none yet.
 std::size_t
 EndOfEvent(std::string_view aBytes)
 {
-  const std::size_t shortEnd = aBytes.find(kUnix);
-  const std::size_t longEnd = aBytes.find(kInternet);
+  const std::size_t shortEnd = aBytes.find(kLfEnd);
+  const std::size_t longEnd = aBytes.find(kCrlfEnd);
   if (shortEnd == std::string_view::npos && longEnd == std::string_view::npos) {
     return std::string_view::npos;
   }
-  return shortEnd < longEnd ? shortEnd + kUnix.size() : longEnd + kInternet.size();
+  return shortEnd < longEnd ? shortEnd + kLfEnd.size() : longEnd + kCrlfEnd.size();
 }
 
 std::optional<std::uint64_t>
@@ -52,7 +52,7 @@
 EventSplitter::Next()
 {
   // The empty line may begin in bytes that were searched before.
-  const std::size_t from = std::max(mTaken, mSearched - std::min(mSearched, kInternet.size() - 1));
+  const std::size_t from = std::max(mTaken, mSearched - std::min(mSearched, kCrlfEnd.size() - 1));
   const std::string_view bytes(mBytes);
   const std::size_t end = EndOfEvent(bytes.substr(from));
   if (end == std::string_view::npos) {
--- a/src/pepperbay/relay/exchange.hpp
+++ b/src/pepperbay/relay/exchange.hpp
@@ -225,7 +225,7 @@
   /// they made it exit.
   void NoteLongRun();
   /// @return the record of the request to report if the engine of a dispatch has just exited.
-  InterruptedRequest InterruptedAt(const EngineDispatch& aDispatch) const;
+  InterruptedRequest MakeInterruptedRequest(const EngineDispatch& aDispatch) const;
   /// A dispatch has failed: notes what that shows about its engine and about the request.
   void NoteEnd(EngineDispatch* aDispatch, const AttemptEnd& aEnd);
   /// A dispatch's pooled connection was closed without a byte of an answer.
--- a/src/pepperbay/relay/exchange_suspect.cpp
+++ b/src/pepperbay/relay/exchange_suspect.cpp
@@ -64,7 +64,7 @@
 }
 
 InterruptedRequest
-Exchange::InterruptedAt(const EngineDispatch& aDispatch) const
+Exchange::MakeInterruptedRequest(const EngineDispatch& aDispatch) const
 {
   const TimePoint now = mCore->Now();
   // An engine of a pool begins its answer when it starts to run the request; other engines answer
@@ -86,14 +86,14 @@
   if (aEnd.mClosed) {
     mInterrupted = true;
     mAvoidsPooled = true; // the same fault may have closed pooled connections
-    mCore->mExitProbe.OnInterrupted(aDispatch->mTarget, InterruptedAt(*aDispatch));
+    mCore->mExitProbe.OnInterrupted(aDispatch->mTarget, MakeInterruptedRequest(*aDispatch));
   }
   if (aEnd.mBadBytes) {
     NoteNonRepeatableFailure();
   }
   if (aEnd.mNotListening && !aDispatch->mGroup.empty()) {
     // Its registration expires only after seconds, and it has no stalled stream that could show it.
-    mCore->OnHeadGone(aDispatch->mTarget.mEngine, aDispatch->mSentAt);
+    mCore->OnHeadNotListening(aDispatch->mTarget.mEngine, aDispatch->mSentAt);
   }
 }
 
@@ -108,7 +108,7 @@
   if (Suspected().mScore > 0) {
     mInterrupted = true; // an exiting engine closes pooled connections as well
   }
-  mStale = StaleConnection{ aDispatch->mTarget, InterruptedAt(*aDispatch) };
+  mStale = StaleConnection{ aDispatch->mTarget, MakeInterruptedRequest(*aDispatch) };
 }
 
 void
@@ -130,7 +130,7 @@
 {
   if (aDispatch.mAttempt->MayHaveRun()) {
     mInterrupted = true;
-    mCore->OnEngineExited(aDispatch.mTarget, { InterruptedAt(aDispatch) });
+    mCore->OnEngineExited(aDispatch.mTarget, { MakeInterruptedRequest(aDispatch) });
   }
 }
 
--- a/src/pepperbay/relay/relay_core.cpp
+++ b/src/pepperbay/relay/relay_core.cpp
@@ -13,7 +13,7 @@
 namespace {
 
 /// A configuration version that takes longer than this to reach the traffic thread is logged.
-constexpr std::chrono::milliseconds kSlowToForce{ 250 };
+constexpr std::chrono::milliseconds kSlowConfiguration{ 250 };
 
 BalancerOptions
 BalancerOptionsOf(const RelayOptions& aOptions)
@@ -111,7 +111,7 @@
 RelayCore::SetPlan(std::shared_ptr<const TrafficPlan> aPlan)
 {
   if (mPlan) {
-    ForgetReplacedStarts(mPlan->mStarts, aPlan->mStarts);
+    ForgetStaleIncarnations(mPlan->mStarts, aPlan->mStarts);
   }
   NoteConfiguration(*aPlan);
   const bool suspects = aPlan->mSuspects && (!mPlan || aPlan->mSuspects != mPlan->mSuspects);
@@ -142,7 +142,7 @@
   mCounters.mConfigurationVersion = version;
   const Duration took = Now() - aPlan.mConfigurationTaken;
   mCounters.mInForce.Observe(took);
-  if (took > kSlowToForce) {
+  if (took > kSlowConfiguration) {
     Log("configuration_late",
         { { "version", std::to_string(version) },
           { "after_ms", std::to_string(ToMs(took).count()) } });
@@ -150,7 +150,7 @@
 }
 
 void
-RelayCore::ForgetReplacedStarts(const EngineStarts& aBefore, const EngineStarts& aNow)
+RelayCore::ForgetStaleIncarnations(const EngineStarts& aBefore, const EngineStarts& aNow)
 {
   for (const auto& [engine, born] : aNow) {
     const auto known = aBefore.find(engine);
@@ -229,7 +229,7 @@
                                 aRequests.end(),
                                 [](const InterruptedRequest& aIt) { return aIt.mOfReplica; });
   if (head) {
-    OnHeadGone(aEngine.mEngine, aRequests.front().mAt);
+    OnHeadNotListening(aEngine.mEngine, aRequests.front().mAt);
   }
   for (const auto& it : aRequests) {
     const bool ran = mRuns.HasRun(it.mKey, Now());
@@ -269,9 +269,9 @@
 }
 
 void
-RelayCore::OnHeadGone(const std::string& aHead, TimePoint aAsOf)
+RelayCore::OnHeadNotListening(const std::string& aHead, TimePoint aAsOf)
 {
-  if (mGoneHeads.OnRefused(aHead, aAsOf, Now()) && mHooks.mOnRefused) {
+  if (mUnreachableHeads.OnRefused(aHead, aAsOf, Now()) && mHooks.mOnRefused) {
     mHooks.mOnRefused(aHead);
   }
 }
@@ -300,11 +300,11 @@
   for (const auto& it : mPlan && mPlan->mProxyPeers ? *mPlan->mProxyPeers : ProxyPeers{}) {
     peers += (peers.empty() ? "" : ",") + it.mNode;
   }
-  Log(
-    aDown ? "engines_unreached" : "engines_reached",
-    { { "peers", peers },
-      { "heard_any_ms_ago", std::to_string(ToMs(Now() - mConnector.HeardAt()).count()) },
-      { "for_ms", aDown ? "" : std::to_string(ToMs(Now() - mConnector.DirectPathDownSince()).count()) } });
+  Log(aDown ? "engines_unreached" : "engines_reached",
+      { { "peers", peers },
+        { "heard_any_ms_ago", std::to_string(ToMs(Now() - mConnector.HeardAt()).count()) },
+        { "for_ms",
+          aDown ? "" : std::to_string(ToMs(Now() - mConnector.DirectPathDownSince()).count()) } });
   if (aDown) {
     // Direct connections may be cut by the partition without showing it; a request that is sent
     // over one would be lost.
--- a/src/pepperbay/relay/relay_core.hpp
+++ b/src/pepperbay/relay/relay_core.hpp
@@ -30,7 +30,7 @@
   void NoteConfiguration(const TrafficPlan& aPlan);
   /// Discards what was learnt about engines that have restarted or are no longer listed: it does
   /// not hold for the new process.
-  void ForgetReplacedStarts(const EngineStarts& aBefore, const EngineStarts& aNow);
+  void ForgetStaleIncarnations(const EngineStarts& aBefore, const EngineStarts& aNow);
   /// @return the suspicion against a request; a score of 0 means none.
   SuspectRequest SuspectOf(const RequestKey& aKey) const;
   /// An engine completed a request, so the request did not cause any engine to exit.
@@ -54,7 +54,7 @@
                           const std::vector<InterruptedRequest>& aRequests);
   /// A replica's head no longer listens: the coordinator is to check its members.
   /// @param aAsOf when the attempt that showed it was started
-  void OnHeadGone(const std::string& aHead, TimePoint aAsOf);
+  void OnHeadNotListening(const std::string& aHead, TimePoint aAsOf);
   /// Direct connections to engines are avoided from now on, or used again.
   void OnDirectPathChange(bool aDown);
   /// Bytes of the attempt's engine were received.
@@ -75,8 +75,8 @@
   Balancer mBalancer;
   PlaceAgent mPlaces;
   StallDetector mStalls;
-  RefusalBook mGoneHeads; ///< heads that no longer listen and were reported
-  RetryAgent mRetries;    ///< retry budget of plain services; slots are requested through mPlaces
+  RefusalBook mUnreachableHeads; ///< heads that no longer listen and were reported
+  RetryAgent mRetries; ///< retry budget of plain services; slots are requested through mPlaces
   ConnectionPool mConnections;
   EngineConnector mConnector;
   ExitProbe mExitProbe;
--- a/src/pepperbay/relay/silence_watch.cpp
+++ b/src/pepperbay/relay/silence_watch.cpp
@@ -14,13 +14,15 @@
     return;
   }
   const TimePoint now = mCore->Now();
-  const bool all = now - connector.HeardAt() >= kAllSilent;
+  const bool all = now - connector.HeardAt() >= kAllSilence;
   for (const auto& it : mCore->mExchanges) {
     const EngineDispatch* dispatch = it->DirectDispatch();
     if (dispatch == nullptr) {
       continue;
     }
-    const Duration bound = all ? kAllSilent : dispatch->mWriting ? kWritingSilent : kReadingSilent;
+    const Duration bound = all                  ? kAllSilence
+                           : dispatch->mWriting ? kStreamingSilence
+                                                : kPromptSilence;
     const TimePoint last =
       std::max(dispatch->mSentAt, connector.HeardAt(dispatch->mTarget.mEngine));
     if (now - last >= bound) {
--- a/src/pepperbay/relay/silence_watch.hpp
+++ b/src/pepperbay/relay/silence_watch.hpp
@@ -16,11 +16,11 @@
 public:
   /// For all engines together. An engine writes every 50 to 80 ms while it streams, so several of
   /// them rarely pause this long at once.
-  static constexpr std::chrono::milliseconds kAllSilent{ 100 };
+  static constexpr std::chrono::milliseconds kAllSilence{ 100 };
   /// For an engine that streams. It pauses this long when it processes several long prompts.
-  static constexpr std::chrono::milliseconds kWritingSilent{ 180 };
+  static constexpr std::chrono::milliseconds kStreamingSilence{ 180 };
   /// For an engine that has to process the prompt first; few prompts take this long.
-  static constexpr std::chrono::milliseconds kReadingSilent{ 400 };
+  static constexpr std::chrono::milliseconds kPromptSilence{ 400 };
 
   explicit SilenceWatch(RelayCore* aCore)
     : mCore(aCore)
