--- a/bench/pools/stream_load.hpp
+++ b/bench/pools/stream_load.hpp
@@ -37,7 +37,7 @@
   /// Against the requests a second of the sheet.
   double mFactor = 1;
   std::vector<Turn> mTurns;
-  /// Streams leave a replica that stands still after this; see RelayOptions::mLeaveSilent.
+  /// Streams leave a replica that stands still after this; see RelayOptions::mMaxSilence.
   Duration mLeaveSilent = std::chrono::milliseconds(290);
   /// A refused caller comes back once, after this and up to so much more.
   Duration mComesBack = std::chrono::milliseconds(600);
--- a/include/pepperbay/relay/relay.hpp
+++ b/include/pepperbay/relay/relay.hpp
@@ -46,7 +46,7 @@
   std::string mDataCentre; ///< of this node
   std::string mNode;
   std::uint64_t mIncarnation = 0;
-  std::string mAllocatorAddress; ///< `IP:port` (UDP) for messages between the nodes' place agents
+  std::string mAllocatorAddress; ///< `IP:port` (UDP) for messages between the nodes' slot agents
   /// `IP:port` (TCP) where this node accepts tunnels to engines from its peers; empty: it does not.
   std::string mTunnel;
   std::string mTunnelKey; ///< key that peers must present to open a tunnel
@@ -128,7 +128,8 @@
   std::map<std::string, std::uint64_t> mReasons; ///< refusals, failures and aborts, by reason
 };
 
-/// Callbacks of the relay, called on its own thread.
+/// Callbacks of the relay, called on its own thread. A replica's head is the member that receives
+/// the replica's requests.
 struct RelayHooks
 {
   /// A replica's head has been silent for too long while it had streams. To be handled on another
@@ -142,7 +143,7 @@
   std::function<void(bool aReaches)> mOnReachability;
   /// An engine completed a request that the plan lists as a suspect.
   std::function<void(const RequestKey& aRequest)> mOnSuspectCompleted;
-  /// Sends a message to another node's place agent; null where there are no other nodes.
+  /// Sends a message to another node's slot agent; null where there are no other nodes.
   std::function<void(const std::string& aAddress, const std::string& aBytes)> mSendToAllocator;
   /// Writes a log line; see log.hpp.
   std::function<void(const char* aEvent, const std::map<std::string, std::string>& aFields)> mLog;
@@ -166,7 +167,7 @@
   // All methods must be called on the relay's own thread.
   virtual void SetPlan(std::shared_ptr<const TrafficPlan> aPlan) = 0;
   virtual void Tune(const RelayTuning& aTuning) = 0;
-  /// Handles a message from another node's place agent.
+  /// Handles a message from another node's slot agent.
   virtual void OnAllocatorMessage(const std::string& aBytes) = 0;
   /// Requests in progress by engine: those of this node and those that it assigned slots to for
   /// other nodes.
