--- a/src/pepperbay/relay/exchange.hpp
+++ b/src/pepperbay/relay/exchange.hpp
@@ -131,8 +131,8 @@
   std::set<std::string> RepeatableEngines() const;
   /// @return engines to which the request must not be sent.
   std::set<std::string> ForbiddenEngines() const;
-  /// @return engines to exclude now: the barred ones, and for a retry also silent heads, as long as
-  /// another engine remains.
+  /// @return engines to exclude now: the forbidden ones, and for a retry also silent heads, as long
+  /// as another engine remains.
   std::set<std::string> ExcludedEngines() const;
   /// @return heads of a pool whose streams at this node have stalled.
   std::set<std::string> SilentHeads() const;
@@ -293,7 +293,7 @@
   void RefuseQuarantined();
   /// Aborts an answer that has begun, so that it cannot look complete.
   void Cut(const std::string& aReason);
-  /// Calls Over(). @return the caller's side for the end of the answer; null if the caller has gone
+  /// Calls Release(). @return the writer for the end of the answer; null if the caller has gone
   AnswerWriter* Finish();
   void Release();
   void LogEnd(const char* aOutcome, const std::string& aReason) const;
@@ -326,7 +326,7 @@
   TimePoint mHedgeNotBefore{}; ///< no earlier hedge, since no slot was found or the hedge failed
   int mMovesRefused = 0;       ///< times that no slot was found
   std::optional<PendingRetry> mPendingRetry;
-  int mSent = 0; ///< dispatches, without repeats after a stale connection
+  int mSent = 0; ///< dispatches, without failed connects and repeats after a stale connection
   int mConnectFailures = 0;
   Duration mRateLimitedFor{ 0 }; ///< time until engines with free slots are below their rate limit
   bool mAllFull = false;         ///< all replicas were at capacity when a slot was requested
