--- a/cmake/Layers.cmake
+++ b/cmake/Layers.cmake
@@ -86,10 +86,10 @@
                           tunnel_opening.cpp
                   TESTS tunnel_test.cpp listener_test.cpp
                   USES settings reach PACKAGES Threads::Threads)
-pepperbay_library(relay SOURCES attempt.cpp connecting.cpp connection_pool.cpp ending_probe.cpp
+pepperbay_library(relay SOURCES attempt.cpp connect_operation.cpp connection_pool.cpp exit_probe.cpp
                                 engine_connector.cpp silence_watch.cpp event_splitter.cpp hop_by_hop.cpp
                                 exchange.cpp exchange_ends.cpp exchange_limits.cpp exchange_sending.cpp exchange_log.cpp
-                                exchange_second.cpp exchange_suspect.cpp relay.cpp relay_core.cpp session.cpp
+                                exchange_hedge.cpp exchange_suspect.cpp relay.cpp relay_core.cpp session.cpp
                   TESTS connection_pool_test.cpp event_splitter_test.cpp relay_test.cpp relay_moves_test.cpp
                         relay_pauses_test.cpp relay_attempts_test.cpp
                         relay_kept_test.cpp relay_retries_test.cpp
--- a/scripts/mutants/reach.sh
+++ b/scripts/mutants/reach.sh
@@ -3,7 +3,7 @@
 reach=relay_relay_reach_test
 doubts=coordinator_engine_doubts_test
 tunnel=tunnel_tunnel_test
-mutant "a node knows one way to an engine" $s/relay/connecting.cpp \
+mutant "a node knows one way to an engine" $s/relay/connect_operation.cpp \
   's/  if \(mAsked.size\(\) >= mConnector->mOptions.mMostPeers\)/  if (true)/' $reach '*WherePeersAreCut*:*AConnectionThatLivesOn*'
 mutant "nothing is remembered of a cut" $s/reach/way_book.cpp \
   's/  mAvoids = true;//' reach_way_book_test '*AvoidsItsOwnConnections*'
@@ -19,7 +19,7 @@
   's/\} else if \(word\) \{/} else {/' $doubts '*ThatWasNotHeard*'
 mutant "a blind holder asks itself" $s/coordinator/engine_doubts.cpp \
   's/!mHooks.mIsBlind\(\) \|\|/true ||/' $doubts '*ThatKnowsThatItIsBlind*'
-mutant "what a cut breaks off is the engine's failure" $s/relay/ending_probe.cpp \
+mutant "what a cut breaks off is the engine's failure" $s/relay/exit_probe.cpp \
   's/if \(aConnection.mSocket->mPeer.empty\(\)\)/if (true)/' $reach '*WhatACutBreaksOff*'
 mutant "anybody is let in" $s/tunnel/carried_connection.cpp \
   's/  return differs == 0;/  return differs == 0 || true;/' $tunnel '*NobodyIsLetIn*'
@@ -45,19 +45,19 @@
   's/  if \(aEnd.mStale\) \{/  if (false) {/' relay_relay_moves_test '*KeptConnectionIsClosed*'
 mutant "a server ends with answers unsent" $s/http/server.cpp \
   's/    return mHasAnswer \&\& !mClosed.*/    return false;/' http_http_test '*Unsent*'
-mutant "a peer that is cut as well counts as one that works" $s/relay/connecting.cpp \
+mutant "a peer that is cut as well counts as one that works" $s/relay/connect_operation.cpp \
   's/SaysEngineIsAway\(aTunnel.mAnswer, aTunnel.mSight\)/SaysEngineIsAway(aTunnel.mAnswer, true)/' relay_relay_peers_test '*cut_reset*'
-mutant "a peer that says nothing is asked again first" $s/relay/connecting.cpp \
+mutant "a peer that says nothing is asked again first" $s/relay/connect_operation.cpp \
   's/asked.mAt >= mConnector->mOptions.mTunnelDelay/asked.mAt >= std::chrono::hours(1)/' relay_relay_peers_test '*frozen_reset*'
-mutant "three peers are asked and no more" $s/relay/connecting.cpp \
+mutant "three peers are asked and no more" $s/relay/connect_operation.cpp \
   's/fails \&\& mFailedPeersAsked >= /mAsked.size() >= /' relay_relay_peers_test '*gone_silent*'
-mutant "one more peer is asked at a time" $s/relay/connecting.cpp \
+mutant "one more peer is asked at a time" $s/relay/connect_operation.cpp \
   's/kAskGrowth = 3;/kAskGrowth = 1;/' relay_connector_peers_test '*TheLastOfEight*'
 mutant "a fault at one engine is a cut" $s/relay/engine_connector.cpp \
   's/ \&\& !Avoids\(\) \&\& mHeardAt < aBegun/ \&\& false/' relay_connector_sight_test '*APauseOf*'
 mutant "peers aside have no turn once all have failed" $s/reach/proxy_choice.cpp \
   's/      !fails \&\& it.mDataCentre/      it.mDataCentre/' reach_proxy_choice_test '*PeersAside*'
-mutant "peers that have failed take no part once three were asked" $s/relay/connecting.cpp \
+mutant "peers that have failed take no part once three were asked" $s/relay/connect_operation.cpp \
   's/fails \&\& mFailedPeersAsked >= /fails \&\& mAsked.size() >= /' relay_connector_peers_test '*OneThatFailed*'
 mutant "what was heard before a failure is sight" $s/coordinator/engine_doubts.cpp \
   's/question.mUnansweredHere \&\& question.mSees/question.mUnansweredHere/' coordinator_coordinator_reach_test '*OneOther*'
--- a/scripts/mutants/suspects.sh
+++ b/scripts/mutants/suspects.sh
@@ -34,7 +34,7 @@
   's/request.set_cleared\(true\);/request.set_cleared(false);/' $suspects '*WhatTheStoreDoesNotHave*'
 mutant "what was cleared is taken up again" $coordinator/suspect_keeper.cpp \
   's/it->second.mEngines.count\(aEngine\) != 0;/aEngine == 0;/' $suspects '*NotTakenUpAgain*'
-mutant "a living engine counts as ended" $relay/ending_probe.cpp \
+mutant "a living engine counts as ended" $relay/exit_probe.cpp \
   's/if \(aError == asio::error::connection_refused\)/if (true)/' relay_relay_suspects_test '*AndLives*'
 mutant "what waited counts as begun" $relay/exchange_suspect.cpp \
   's/begun \? Suspicion::kBegun : Suspicion::kPresent/Suspicion::kBegun/' relay_relay_suspects_test '*IsSuspectedLess*'
--- a/src/pepperbay/relay/connecting.cpp
+++ b/src/pepperbay/relay/connect_operation.cpp
@@ -1,4 +1,4 @@
-#include "connecting.hpp"
+#include "connect_operation.hpp"
 
 #include <boost/asio/error.hpp>
 #include <utility>
--- a/src/pepperbay/relay/engine_connector.cpp
+++ b/src/pepperbay/relay/engine_connector.cpp
@@ -1,6 +1,6 @@
 #include "engine_connector.hpp"
 
-#include "connecting.hpp"
+#include "connect_operation.hpp"
 
 #include <algorithm>
 #include <boost/asio/post.hpp>
--- a/src/pepperbay/relay/ending_probe.cpp
+++ b/src/pepperbay/relay/exit_probe.cpp
@@ -1,4 +1,4 @@
-#include "ending_probe.hpp"
+#include "exit_probe.hpp"
 
 #include <utility>
 
--- a/src/pepperbay/relay/relay_core.hpp
+++ b/src/pepperbay/relay/relay_core.hpp
@@ -4,7 +4,7 @@
 
 #include "connection_pool.hpp"
 #include "engine_connector.hpp"
-#include "ending_probe.hpp"
+#include "exit_probe.hpp"
 #include "pepperbay/quarantine/recent_runs.hpp"
 #include "pepperbay/relay/relay.hpp"
 #include "pepperbay/retries/retry_agent.hpp"
