--- a/scripts/mutants/shared_pool.sh
+++ b/scripts/mutants/shared_pool.sh
@@ -4,9 +4,9 @@
 relay=$s/relay
 groups=$s/placement
 mutant "answers without a seal pass" $relay/exchange.cpp \
-  's/return aFacts.mSealed \? "" : "unsealed_answer";/return "";/' relay_relay_test '*OnlyAWholeAnswer*'
+  's/return aMetadata.mSealed \? "" : "unsealed_answer";/return "";/' relay_relay_test '*OnlyAWholeAnswer*'
 mutant "another request's answer passes" $relay/exchange.cpp \
-  's/if \(!aFacts.mRequestId.empty\(\) \&\& aFacts.mRequestId != mFacts.mId\) \{/if (false) {/' relay_relay_test '*OnlyAWholeAnswer*'
+  's/if \(!aMetadata.mRequestId.empty\(\) \&\& aMetadata.mRequestId != mMetadata.mId\) \{/if (false) {/' relay_relay_test '*OnlyAWholeAnswer*'
 mutant "answers cut short pass" $relay/exchange.cpp \
   's/if \(!aEnd.mComplete\)/if (false)/' relay_relay_test '*OnlyAWholeAnswer*'
 mutant "a kept connection with bytes on it is used" $relay/connection_pool.cpp \
@@ -29,12 +29,12 @@
 mutant "second attempts without a budget" $s/retries/retry_agent.cpp \
   's/const bool granted = mOwn.Take.*/const bool granted = true;/; s/return EarnedOf\(aService\).MayTake.*/return true || EarnedOf(aService).MayTake(now) ||/' relay_relay_test '*WithinTheBudget*'
 mutant "the caller's deadline is passed on as it came" $relay/exchange_sending.cpp \
-  's/std::max<Duration>\(Left\(\) - kDeadlineMargin, /std::max<Duration>(mDeadlineAt - mArrived, /' \
+  's/std::max<Duration>\(TimeLeft\(\) - kDeadlineMargin, /std::max<Duration>(mDeadlineAt - mArrived, /' \
   relay_relay_test '*LessTime*'
 mutant "a caller that left is not noticed" $relay/session.cpp \
   's/Peek\(self->mSocket\) == PeekResult::kClosed/false/' relay_relay_test '*ACallerThatLeaves*'
 mutant "late requests are taken in a stop" $relay/relay.cpp \
-  's/mCore.mTakesRequests = false/mCore.mTakesRequests = true/' relay_relay_stop_test '*RefusesWhatComesLate*'
+  's/mCore.mAcceptsRequests = false/mCore.mAcceptsRequests = true/' relay_relay_stop_test '*RefusesWhatComesLate*'
 mutant "a member that leaves is not swapped" $groups/group_planner.cpp \
   's/return engine != nullptr \&\& engine->mLeaving;/return false;/' \
   placement_group_planner_leaving_test '*Leav*'
--- a/scripts/mutants/suspects.sh
+++ b/scripts/mutants/suspects.sh
@@ -34,23 +34,23 @@
   's/request.set_cleared\(true\);/request.set_cleared(false);/' $suspects '*WhatTheStoreDoesNotHave*'
 mutant "what was cleared is taken up again" $coordinator/suspect_keeper.cpp \
   's/it->second.mEngines.count\(aEngine\) != 0;/aEngine == 0;/' $suspects '*NotTakenUpAgain*'
-mutant "a living engine counts as ended" $relay/ending_probe.cpp \
+mutant "a living engine counts as ended" $relay/exit_probe.cpp \
   's/if \(aError == asio::error::connection_refused\)/if (true)/' relay_relay_suspects_test '*AndLives*'
 mutant "what waited counts as begun" $relay/exchange_suspect.cpp \
   's/begun \? Suspicion::kBegun : Suspicion::kPresent/Suspicion::kBegun/' relay_relay_suspects_test '*IsSuspectedLess*'
 mutant "held back requests are sent" $relay/exchange.cpp \
-  's/  if \(IsHeldBack\(\)\) \{/  if (false) {/' relay_relay_suspects_test '*RefusedAtOnce*'
+  's/  if \(IsQuarantined\(\)\) \{/  if (false) {/' relay_relay_suspects_test '*RefusedAtOnce*'
 mutant "a refusal names the usual time" $relay/exchange_ends.cpp \
-  's/return std::max\(after, HeldFor\(\)\);/return after;/' \
+  's/return std::max\(after, QuarantineTimeLeft\(\)\);/return after;/' \
   relay_relay_suspects_test '*RefusedAtOnce*'
 mutant "a suspect goes to a second engine at once" $relay/exchange_suspect.cpp \
-  's/\(mBrokenOff \&\& .*\);/false;/' relay_relay_suspects_test '*NotSentToASecond*'
+  's/\(mInterrupted \&\& .*\);/false;/' relay_relay_suspects_test '*NotSentToASecond*'
 mutant "copies that have begun go on" $relay/exchange_ends.cpp \
-  's/  if \(StopIfHeldBack\(\)\) \{/  if (false) {/' relay_relay_suspects_test '*IsStopped*'
+  's/  if \(StopIfQuarantined\(\)\) \{/  if (false) {/' relay_relay_suspects_test '*IsStopped*'
 mutant "streams that run for long are cut" $relay/exchange_suspect.cpp \
-  's/if \(proven \|\| mNext\)/if (mNext)/' relay_relay_suspects_test '*RunsForLong*'
+  's/if \(proven \|\| mHedge\)/if (mHedge)/' relay_relay_suspects_test '*RunsForLong*'
 mutant "a run to the end is not noted" $relay/relay.cpp \
-  's/    mHooks.mOnRanWhole\(aKey\);/    ;/' relay_relay_suspects_test '*TimeIsOver*'
+  's/    mHooks.mOnSuspectCompleted\(aKey\);/    ;/' relay_relay_suspects_test '*TimeIsOver*'
 mutant "what ran lately is suspected" $relay/relay.cpp \
   's/if \(!ran \&\& /if (/' relay_relay_suspects_test '*HasJustRunToItsEndIsNot*'
 mutant "what ran lately is not cleared" $relay/relay.cpp \
@@ -62,6 +62,6 @@
 mutant "a head that has ended is not told to the holder" $relay/relay.cpp \
   's/  if \(head\) \{/  if (false) {/' relay_relay_suspects_test '*WithItsStreams*'
 mutant "a head that refuses connections is not told" $relay/exchange_suspect.cpp \
-  's/if \(aEnd.mGone \&\& .*/if (false) {/' relay_relay_suspects_test '*RefusesConnections*'
+  's/if \(aEnd.mNotListening \&\& .*/if (false) {/' relay_relay_suspects_test '*RefusesConnections*'
 mutant "what holds nothing back is passed on again and again" $coordinator/suspect_keeper.cpp \
   's/mBook.HeldUntil\(key\) > Now\(\) \? mOptions.mTellTimes : 1;/mOptions.mTellTimes;/' $suspects '*PassedOnOnce*'
--- a/src/pepperbay/edge/edge_node.cpp
+++ b/src/pepperbay/edge/edge_node.cpp
@@ -107,7 +107,7 @@
     }
     mPeers.Receive([this](const std::string& aBytes) { mCoordinator->OnMessage(aBytes); });
     if (!mSettings.mDesk.empty()) {
-      mDesks.Receive([this](const std::string& aBytes) { mRelay->OnDeskMessage(aBytes); });
+      mDesks.Receive([this](const std::string& aBytes) { mRelay->OnAllocatorMessage(aBytes); });
     }
     TickControl();
     TellTraffic();
@@ -255,10 +255,10 @@
     options.mDataCentre = mSettings.mDataCentre;
     options.mNode = mSettings.mName;
     options.mIncarnation = mIncarnation;
-    options.mDeskAddress = mSettings.mDesk;
+    options.mAllocatorAddress = mSettings.mDesk;
     options.mTunnel = mSettings.mTunnel;
     options.mTunnelKey = mTunnelKey;
-    options.mMostCarried = mMostCarried;
+    options.mMaxTunnelled = mMostCarried;
     options.mGate.mMostOpen = mMostCallers;
     options.mTuning = TuningOf(mSettings);
     return options;
@@ -297,20 +297,20 @@
     hooks.mOnSuspect = [this](const std::string& aHead, Duration aSilence) {
       asio::post(mControl, [this, aHead, aSilence] { mCoordinator->OnSuspect(aHead, aSilence); });
     };
-    hooks.mOnReach = [this](bool aReaches) {
+    hooks.mOnReachability = [this](bool aReaches) {
       asio::post(mControl, [this, aReaches] { mCoordinator->SetReach(aReaches); });
     };
     hooks.mOnRefused = [this](const std::string& aHead) {
       asio::post(mControl, [this, aHead] { mCoordinator->OnRefused(aHead); });
     };
-    hooks.mOnEngineEnded = [this](const RequestKey& aRequest, const EngineEnd& aEnd) {
+    hooks.mOnEngineExited = [this](const RequestKey& aRequest, const EngineEnd& aEnd) {
       asio::post(mControl, [this, aRequest, aEnd] { mCoordinator->OnEngineEnded(aRequest, aEnd); });
     };
-    hooks.mOnRanWhole = [this](const RequestKey& aRequest) {
+    hooks.mOnSuspectCompleted = [this](const RequestKey& aRequest) {
       asio::post(mControl, [this, aRequest] { mCoordinator->OnRanWhole(aRequest); });
     };
     if (!mSettings.mDesk.empty()) {
-      hooks.mSendToDesk = [this](const std::string& aAddress, const std::string& aBytes) {
+      hooks.mSendToAllocator = [this](const std::string& aAddress, const std::string& aBytes) {
         mDesks.Send(aAddress, aBytes);
       };
     }
--- a/src/pepperbay/relay/attempt.cpp
+++ b/src/pepperbay/relay/attempt.cpp
@@ -14,8 +14,9 @@
 namespace http = boost::beast::http;
 
 namespace {
-constexpr std::uint32_t kMostHeaderBytes = 65536; // of an engine's answer; more is no answer
-constexpr int kMostInterim = 16;                  // interim answers to one request; the same
+// An engine's answer that exceeds one of these limits is invalid.
+constexpr std::uint32_t kMaxHeaderBytes = 65536;
+constexpr int kMaxInterimAnswers = 16; // interim (1xx) answers to one request
 }
 
 Attempt::Attempt(EngineConnector* aConnector, ConnectionPool* aPool, AttemptTarget aTarget)
@@ -36,7 +37,7 @@
     });
   }
   if (mSocket) {
-    mKept = true;
+    mPooled = true;
     mPeer = mSocket->mPeer;
     Send();
     return;
@@ -47,12 +48,12 @@
 void
 Attempt::Connect()
 {
-  mConnecting =
+  mConnectId =
     mConnector->Connect(mTarget, [self = shared_from_this()](EngineConnection aConnection) {
-      self->mConnecting = 0;
+      self->mConnectId = 0;
       if (!aConnection.mSocket) {
-        self->mGone = aConnection.mGone;
-        self->Finish(false, aConnection.mWhy);
+        self->mNotListening = aConnection.mNotListening;
+        self->Finish(false, aConnection.mReason);
         return;
       }
       self->mSocket = std::move(aConnection.mSocket);
@@ -69,7 +70,8 @@
   http::async_write(mSocket->mSocket,
                     *mSerializer,
                     [self = shared_from_this()](boost::system::error_code aError, std::size_t) {
-                      // A failed write shows in the read, which may still find an early answer.
+                      // A failed write is reported by the read, which may still find an early
+                      // answer.
                       self->mAllWritten = !aError;
                     });
   ReadHead();
@@ -79,8 +81,8 @@
 Attempt::ReadHead()
 {
   mParser.emplace();
-  mParser->header_limit(kMostHeaderBytes);
-  mParser->body_limit(std::numeric_limits<std::uint64_t>::max()); // bounded by who collects it
+  mParser->header_limit(kMaxHeaderBytes);
+  mParser->body_limit(std::numeric_limits<std::uint64_t>::max()); // limited by the receiver
   if (mRequest.method() == http::verb::head) {
     mParser->skip(true);
   }
@@ -93,7 +95,7 @@
         return;
       }
       if (aError) {
-        self->mStale = self->mKept && self->mBuffer.size() == 0 && !self->mParser->got_some();
+        self->mStale = self->mPooled && self->mBuffer.size() == 0 && !self->mParser->got_some();
         self->Fail("head: ", aError);
         return;
       }
@@ -106,12 +108,12 @@
 {
   constexpr int kFirstFinal = 200;
   if (mParser->get().result_int() < kFirstFinal) {
-    if (++mInterim > kMostInterim) {
+    if (++mInterim > kMaxInterimAnswers) {
       mBadBytes = true;
       Finish(false, "head: too many interim answers");
       return;
     }
-    ReadHead(); // the final one follows
+    ReadHead(); // the final answer follows
     return;
   }
   mEvents.mOnHead(static_cast<int>(mParser->get().result_int()), mParser->get().base());
@@ -171,12 +173,12 @@
 void
 Attempt::CloseConnection()
 {
-  if (mConnecting != 0) {
-    mConnector->Cancel(std::exchange(mConnecting, 0));
+  if (mConnectId != 0) {
+    mConnector->Cancel(std::exchange(mConnectId, 0));
   }
   if (mSocket) {
     CloseNow(mSocket->mSocket);
-    mSocket->mCarriedBy.reset();
+    mSocket->mTunnelCount.reset();
   }
 }
 
@@ -205,10 +207,10 @@
   end.mClosed = mClosed;
   end.mBadBytes = mBadBytes;
   end.mStale = mStale && mClosed;
-  end.mGone = mGone;
-  end.mWhy = aWhy;
+  end.mNotListening = mNotListening;
+  end.mReason = aWhy;
   if (aComplete) {
-    KeepConnection();
+    ReturnToPool();
   } else {
     CloseConnection();
   }
@@ -217,11 +219,12 @@
 }
 
 void
-Attempt::KeepConnection()
+Attempt::ReturnToPool()
 {
-  // Bytes after the answer belong to no request; what is left of ours would be taken for the next.
+  // Unexpected bytes after the answer, or an unsent rest of this request, would corrupt the next
+  // exchange on the connection.
   if (mParser->keep_alive() && mBuffer.size() == 0 && mAllWritten) {
-    mPool->Put(mTarget.mEngine, std::move(*mSocket), mKeepAlive, mMostIdle);
+    mPool->Put(mTarget.mEngine, std::move(*mSocket), mKeepAlive, mMaxIdle);
     return;
   }
   CloseConnection();
--- a/src/pepperbay/relay/connector_world.hpp
+++ b/src/pepperbay/relay/connector_world.hpp
@@ -124,10 +124,10 @@
   {
     EngineConnectorHooks hooks;
     hooks.mNow = mClock.Hook();
-    hooks.mOnAvoid = [this](bool aAvoids) { mAvoided += aAvoids ? 1 : 0; };
+    hooks.mOnDirectPathChange = [this](bool aDown) { mAvoided += aDown ? 1 : 0; };
     hooks.mEngines = [this] { return mEngines; };
-    hooks.mOnCarried = [] {};
-    hooks.mKeep = [](const AttemptTarget&, const EngineSocket&) {};
+    hooks.mOnTunnelled = [] {};
+    hooks.mOnProbeConnected = [](const AttemptTarget&, const EngineSocket&) {};
     hooks.mDial = [this](Socket&, const std::string& aAddress, auto aDone) {
       After(kRoundTrip, [this, aAddress, done = std::move(aDone)] { Answer(aAddress, done); });
     };
--- a/src/pepperbay/relay/exchange.cpp
+++ b/src/pepperbay/relay/exchange.cpp
@@ -17,15 +17,15 @@
 constexpr int kNotFound = 404;
 constexpr int kBadRequest = 400;
 
-/// Bytes of an answer that is collected whole before it is passed on; plain answers are small.
-constexpr std::size_t kMostWholeBytes = 16U << 20U;
-/// Bytes of one answer that may be kept though others keep too much.
-constexpr std::size_t kAlwaysKept = 64U << 10U;
+/// Limit on a plain answer, which is buffered completely before it is forwarded.
+constexpr std::size_t kMaxAnswerBytes = 16U << 20U;
+/// Bytes that one answer may always buffer, even when the limit on all answers is exceeded.
+constexpr std::size_t kMinBufferedBytes = 64U << 10U;
 
 } // namespace
 
 Exchange::Exchange(RelayCore* aCore,
-                   CallerSide* aCaller,
+                   AnswerWriter* aCaller,
                    CallerRequest aRequest,
                    TimePoint aArrived)
   : mCore(aCore)
@@ -45,17 +45,17 @@
     Refuse("no_configuration");
     return;
   }
-  if (!mCore->mTakesRequests) {
+  if (!mCore->mAcceptsRequests) {
     Refuse("stopping");
     return;
   }
-  const auto facts = mCore->mDialect.mReadRequest(mRequest.base());
-  if (!facts.has_value()) {
-    Answer(kBadRequest, "bad_request", facts.error().mDetail);
+  const auto metadata = mCore->mDialect.mReadRequest(mRequest.base());
+  if (!metadata.has_value()) {
+    Answer(kBadRequest, "bad_request", metadata.error().mDetail);
     return;
   }
-  mFacts = facts.value();
-  mLastEvent = mFacts.mLastEvent;
+  mMetadata = metadata.value();
+  mLastEvent = mMetadata.mLastEvent;
   mRoutes = plan->mRoutes;
   const auto text = [](boost::beast::string_view aView) {
     return std::string_view(aView.data(), aView.size());
@@ -66,29 +66,30 @@
     return;
   }
   mPriority = mRoute->mPriority;
-  mDeadlineAt = mArrived + std::min(mFacts.mDeadline.value_or(mRoute->mTimeout), mRoute->mTimeout);
+  mDeadlineAt =
+    mArrived + std::min(mMetadata.mDeadline.value_or(mRoute->mTimeout), mRoute->mTimeout);
   if (!CheckCustomer(*plan)) {
     return;
   }
   mKey = KeyOfRequest(
     mCustomer, text(mRequest[http::field::host]), text(mRequest.target()), mRequest.body());
-  mService = mRoutes->PickService(*mRoute, Hash64(mFacts.mId));
+  mService = mRoutes->PickService(*mRoute, Hash64(mMetadata.mId));
   if (mService == nullptr) {
     Refuse("no_service");
     return;
   }
-  mParts.reserve(mFacts.mPromptParts.size());
-  for (const auto& it : mFacts.mPromptParts) {
+  mParts.reserve(mMetadata.mPromptParts.size());
+  for (const auto& it : mMetadata.mPromptParts) {
     mParts.push_back({ it, KeyOfPromptPart(mCustomer, mService->mName, it) });
   }
-  if (IsHeldBack()) {
-    RefuseHeldBack();
+  if (IsQuarantined()) {
+    RefuseQuarantined();
     return;
   }
   if (!mService->mPool) {
     mCore->mRetries.OnRequest(mService->mName);
   }
-  PlaceAndSend(false, [this](const std::string& aWhy) { Refuse(aWhy); });
+  AllocateAndSend(false, [this](const std::string& aReason) { Refuse(aReason); });
 }
 
 bool
@@ -98,11 +99,11 @@
     return true;
   }
   if (mCore->Now() >= aPlan.mKeysValidUntil) {
-    // The configuration could have taken the key away without this node having heard of it.
+    // A newer configuration that this node has not received may have revoked the key.
     Refuse("keys_out_of_date");
     return false;
   }
-  const CustomerSpec* customer = mRoutes->CustomerOf(mFacts.mKey);
+  const CustomerSpec* customer = mRoutes->CustomerOf(mMetadata.mKey);
   if (customer == nullptr) {
     RefuseMiss(aPlan, kUnauthorized, "unknown_key", "the key belongs to no customer");
     return false;
@@ -119,7 +120,8 @@
                      const char* aDetail)
 {
   if (mCore->Now() >= aPlan.mMissesValidUntil) {
-    // A newer configuration may have it; elsewhere, or in a moment, the request may be served.
+    // A newer configuration may have it: another node, or this one a moment later, may serve the
+    // request.
     Refuse("configuration_out_of_date");
     return;
   }
@@ -127,49 +129,49 @@
 }
 
 std::string
-Exchange::HeadFault(const AnswerFacts& aFacts) const
+Exchange::HeadFault(const AnswerMetadata& aMetadata) const
 {
-  if (!aFacts.mRequestId.empty() && aFacts.mRequestId != mFacts.mId) {
+  if (!aMetadata.mRequestId.empty() && aMetadata.mRequestId != mMetadata.mId) {
     return "foreign_answer";
   }
-  if (aFacts.mNotRun) {
-    return aFacts.mOtherEngine ? "other_engine" : "engine_refused";
+  if (aMetadata.mNotRun) {
+    return aMetadata.mOtherEngine ? "other_engine" : "engine_refused";
   }
-  return aFacts.mSealed ? "" : "unsealed_answer";
+  return aMetadata.mSealed ? "" : "unsealed_answer";
 }
 
 void
-Exchange::NoteHead(const Sending& aSending, const AnswerFacts& aFacts)
+Exchange::NoteHead(const EngineDispatch& aDispatch, const AnswerMetadata& aMetadata)
 {
-  const std::string& engine = aSending.mTarget.mEngine;
-  if (aFacts.mOtherEngine) {
+  const std::string& engine = aDispatch.mTarget.mEngine;
+  if (aMetadata.mOtherEngine) {
     mCore->mBalancer.OnFault(engine, mCore->Now());
     return;
   }
-  NoteLimit(aSending, aFacts);
+  NoteLimit(aDispatch, aMetadata);
   if (!mService->mPool) {
     return;
   }
   RefusalBook& refusals = mCore->mBalancer.Refusals();
-  if (!aFacts.mNotRun) {
-    refusals.OnTaken(engine, aSending.mSentAt);
-  } else if (refusals.OnRefused(engine, aSending.mSentAt, mCore->Now()) &&
+  if (!aMetadata.mNotRun) {
+    refusals.OnTaken(engine, aDispatch.mSentAt);
+  } else if (refusals.OnRefused(engine, aDispatch.mSentAt, mCore->Now()) &&
              mCore->mHooks.mOnRefused) {
     mCore->mHooks.mOnRefused(engine);
   }
 }
 
 void
-Exchange::NoteHeard(Sending* aSending)
+Exchange::NoteHeard(EngineDispatch* aDispatch)
 {
-  aSending->mHeardAt = mCore->Now();
-  mCore->OnHeard(*aSending->mAttempt);
+  aDispatch->mHeardAt = mCore->Now();
+  mCore->OnHeard(*aDispatch->mAttempt);
 }
 
-const Sending*
-Exchange::DirectSending() const
+const EngineDispatch*
+Exchange::DirectDispatch() const
 {
-  const bool waits = mPhase != Phase::kOver && !mPushing && mCurrent.mAttempt &&
+  const bool waits = mPhase != Phase::kFinished && !mPushing && mCurrent.mAttempt &&
                      mCurrent.mAttempt->Connected() && mCurrent.mAttempt->Peer().empty();
   return waits ? &mCurrent : nullptr;
 }
@@ -179,43 +181,43 @@
 {
   NoteHeard(&mCurrent);
   SettleStale(mCurrent, true);
-  const AnswerFacts facts = mCore->mDialect.mReadAnswer(aStatus, aFields);
-  const std::string fault = HeadFault(facts);
+  const AnswerMetadata metadata = mCore->mDialect.mReadAnswer(aStatus, aFields);
+  const std::string fault = HeadFault(metadata);
   if (fault == "foreign_answer") {
     ++mCore->mCounters.mForeignAnswers;
   }
-  NoteHead(mCurrent, facts);
+  NoteHead(mCurrent, metadata);
   if (!fault.empty()) {
-    if (facts.mNotRun) {
+    if (metadata.mNotRun) {
       mAsked.OnNotTaken(mCurrent.mTarget.mEngine);
     } else {
-      NoteFailedOnce();
+      NoteNonRepeatableFailure();
     }
-    OnFailure(fault, !facts.mNotRun);
+    OnFailure(fault, !metadata.mNotRun);
     return;
   }
-  TakeHead(aStatus, aFields, facts);
+  BeginAnswer(aStatus, aFields, metadata);
 }
 
 void
-Exchange::TakeHead(int aStatus, const HeaderFields& aFields, const AnswerFacts& aFacts)
+Exchange::BeginAnswer(int aStatus, const HeaderFields& aFields, const AnswerMetadata& aMetadata)
 {
   mMayHaveRun = true;
   mCurrent.mHeadAt = mCore->Now();
-  mCurrent.mAttempt->SetKeepAlive(aFacts.mKeepAlive);
+  mCurrent.mAttempt->SetKeepAlive(aMetadata.mKeepAlive);
   const bool events = mRoute->mKind == RequestKind::kStream && aStatus == kOk;
   if (!events && mStreamStarted) {
     OnFailure("resume_refused", true);
     return;
   }
-  mPhase = events ? Phase::kEvents : Phase::kWhole;
+  mPhase = events ? Phase::kStreaming : Phase::kBuffering;
   if (!mStreamStarted) {
     mStatus = aStatus;
     mFields = aFields;
     DropHopByHop(&mFields);
   }
-  if (mNext && !events && aStatus < kServerFailure) {
-    DropNext("the first engine answers", mNext->mAttempt->MayHaveRun());
+  if (mHedge && !events && aStatus < kServerFailure) {
+    DropHedge("the first engine answers", mHedge->mAttempt->MayHaveRun());
   }
   mCurrent.mAttempt->ReadMore();
 }
@@ -224,13 +226,13 @@
 Exchange::OnBody(std::string_view aBytes)
 {
   NoteHeard(&mCurrent);
-  if (mPhase == Phase::kEvents) {
-    PassEvents(aBytes);
+  if (mPhase == Phase::kStreaming) {
+    ForwardEvents(aBytes);
     return;
   }
   mBody.append(aBytes);
-  if (!CountKept()) {
-    NoteFailedOnce();
+  if (!CountBuffered()) {
+    NoteNonRepeatableFailure();
     OnFailure("answer_too_long", true);
     return;
   }
@@ -238,28 +240,28 @@
 }
 
 bool
-Exchange::CountKept()
+Exchange::CountBuffered()
 {
-  std::uint64_t& all = mCore->mCounters.mKeptBytes;
-  all -= mKept;
-  mKept = mBody.size() + mSplitter.PartialBytes();
-  all += mKept;
-  return mKept <= kMostWholeBytes &&
-         (mKept <= kAlwaysKept || all <= mCore->mOptions.mMostKeptBytes);
+  std::uint64_t& all = mCore->mCounters.mBufferedBytes;
+  all -= mBuffered;
+  mBuffered = mBody.size() + mSplitter.PartialBytes();
+  all += mBuffered;
+  return mBuffered <= kMaxAnswerBytes &&
+         (mBuffered <= kMinBufferedBytes || all <= mCore->mOptions.mMaxBufferedBytes);
 }
 
 void
-Exchange::PassEvents(std::string_view aBytes)
+Exchange::ForwardEvents(std::string_view aBytes)
 {
   mSplitter.Feed(aBytes);
-  if (!CountKept()) {
+  if (!CountBuffered()) {
     OnFailure("event_too_long", true);
     return;
   }
   std::string ready;
   while (auto event = mSplitter.Next()) {
     if (event->mId && mLastEvent && *event->mId <= *mLastEvent) {
-      continue; // the caller has it
+      continue; // the caller has this event already
     }
     if (event->mId) {
       mLastEvent = event->mId;
@@ -271,20 +273,20 @@
     return;
   }
   const TimePoint now = mCore->Now();
-  if (mNext) {
-    DropNext("the first engine goes on", mNext->mAttempt->MayHaveRun());
+  if (mHedge) {
+    DropHedge("the first engine goes on", mHedge->mAttempt->MayHaveRun());
   }
   if (!mCurrent.mWriting) {
     mCurrent.mWriting = true;
     if (mStreamStarted) {
-      mCore->mCounters.mResumePause.Observe(now - mPassedAt);
+      mCore->mCounters.mResumePause.Observe(now - mForwardedAt);
     }
   } else {
     mCore->mBalancer.OnPause(mCurrent.mTarget.mEngine, now - mCurrent.mLastEventAt, now);
   }
   mCurrent.mLastEventAt = now;
-  mPassedAt = now;
-  NoteRunsOn();
+  mForwardedAt = now;
+  NoteLongRun();
   if (!mStreamStarted) {
     mCore->mCounters.mFirstEvent.Observe(now - mArrived);
     mStreamStarted = true;
@@ -298,8 +300,8 @@
 Exchange::PushToCaller(const std::string& aEvents)
 {
   mPushing = true;
-  // While a slow caller keeps the events back, the engine's silence says nothing of it: counted, it
-  // could have the replica formed anew under the streams of all other callers.
+  // While a slow caller delays the reading, the engine's silence does not count. Otherwise the
+  // replica could be re-formed because of it, which would break the streams of all other callers.
   Unwatch(&mCurrent);
   mCaller->Push(aEvents, [self = shared_from_this(), serial = mCurrent.mSerial] {
     self->mPushing = false;
@@ -311,18 +313,18 @@
 }
 
 void
-Exchange::Watch(Sending* aSending)
+Exchange::Watch(EngineDispatch* aDispatch)
 {
-  if (!std::exchange(aSending->mWatched, true)) {
-    mCore->mStalls.OnWriting(aSending->mTarget.mEngine, mCore->Now());
+  if (!std::exchange(aDispatch->mWatched, true)) {
+    mCore->mStalls.OnWriting(aDispatch->mTarget.mEngine, mCore->Now());
   }
 }
 
 void
-Exchange::Unwatch(Sending* aSending)
+Exchange::Unwatch(EngineDispatch* aDispatch)
 {
-  if (std::exchange(aSending->mWatched, false)) {
-    mCore->mStalls.OnDone(aSending->mTarget.mEngine);
+  if (std::exchange(aDispatch->mWatched, false)) {
+    mCore->mStalls.OnDone(aDispatch->mTarget.mEngine);
   }
 }
 
@@ -331,11 +333,11 @@
 {
   if (!aEnd.mComplete) {
     NoteEnd(&mCurrent, aEnd);
-    OnFailure(aEnd.mWhy, aEnd.mMayHaveRun);
+    OnFailure(aEnd.mReason, aEnd.mMayHaveRun);
     return;
   }
-  if (mPhase == Phase::kWhole) {
-    OnWholeAnswer(!aEnd.mByClose);
+  if (mPhase == Phase::kBuffering) {
+    OnCompleteAnswer(!aEnd.mByClose);
     return;
   }
   if (mSplitter.HasPartial()) {
@@ -346,10 +348,10 @@
     return;
   }
   mCore->mBalancer.OnAnswer(mCurrent.mTarget.mEngine);
-  NoteRan(!aEnd.mByClose);
+  NoteCompleted(!aEnd.mByClose);
   ++mCore->mCounters.mAnswered;
   if (!mStreamStarted) {
-    // A stream without any event; its end says that it is whole.
+    // A stream without any event is complete when it ends.
     mStreamStarted = true;
     mFields.erase(http::field::content_length);
     mCaller->StartStream(mStatus, mFields);
@@ -359,7 +361,7 @@
 }
 
 void
-Exchange::OnWholeAnswer(bool aSaidWhole)
+Exchange::OnCompleteAnswer(bool aExplicitEnd)
 {
   CallerAnswer answer;
   static_cast<HeaderFields&>(answer.base()) = mFields;
@@ -368,34 +370,34 @@
   if (mRequest.method() != http::verb::head) {
     answer.content_length(answer.body().size());
   }
-  // An engine's own failure of a request that may run again: another engine may do better.
+  // The engine answered with an error and the request may run again: another engine may succeed.
   const bool failed = mStatus >= kServerFailure && mRoute->Repeatable() && !mFallback;
-  if (failed && mNext) {
+  if (failed && mHedge) {
     mFallback = std::move(answer);
     Drop(&mCurrent);
-    TakeNext();
+    PromoteHedge();
     return;
   }
-  if (failed && MayAskSecond()) {
+  if (failed && MayHedge()) {
     mFallback = std::move(answer);
     DropAttempt();
-    PlaceAndSend(true, [this](const std::string&) { AnswerFallback("no second engine"); });
+    AllocateAndSend(true, [this](const std::string&) { AnswerFallback("no second engine"); });
     return;
   }
   mCore->mBalancer.OnAnswer(mCurrent.mTarget.mEngine);
   if (mStatus < kServerFailure) {
-    NoteRan(aSaidWhole);
+    NoteCompleted(aExplicitEnd);
   } else {
-    NoteFailedOnce();
+    NoteNonRepeatableFailure();
   }
   mCore->mCounters.mWholeAnswer.Observe(mCore->Now() - mArrived);
   ++mCore->mCounters.mAnswered;
   LogEnd("answered", "");
-  Finish()->SendWhole(std::move(answer));
+  Finish()->SendAnswer(std::move(answer));
 }
 
 void
-Exchange::NoteFailedOnce()
+Exchange::NoteNonRepeatableFailure()
 {
   if (!mService->mPool && !mRoute->Repeatable()) {
     mCore->mBalancer.Failures().OnFailed(mCurrent.mTarget.mEngine, mCore->Now());
@@ -406,29 +408,29 @@
 Exchange::DropAttempt()
 {
   Drop(&mCurrent);
-  if (mNext) {
-    Drop(&*mNext);
-    mNext.reset();
+  if (mHedge) {
+    Drop(&*mHedge);
+    mHedge.reset();
   }
 }
 
 void
-Exchange::Drop(Sending* aSending)
+Exchange::Drop(EngineDispatch* aDispatch)
 {
-  if (!aSending->mAttempt) {
+  if (!aDispatch->mAttempt) {
     return;
   }
-  aSending->mAttempt->Cancel();
-  EndCounts(aSending);
+  aDispatch->mAttempt->Cancel();
+  EndCounts(aDispatch);
 }
 
 void
-Exchange::EndCounts(Sending* aSending)
+Exchange::EndCounts(EngineDispatch* aDispatch)
 {
-  aSending->mAttempt.reset();
-  mCore->mBalancer.OnEnd(aSending->mTarget.mEngine);
-  mCore->mPlaces.End(std::exchange(aSending->mTicket, {}));
-  Unwatch(aSending);
+  aDispatch->mAttempt.reset();
+  mCore->mBalancer.OnEnd(aDispatch->mTarget.mEngine);
+  mCore->mPlaces.End(std::exchange(aDispatch->mTicket, {}));
+  Unwatch(aDispatch);
 }
 
 } // namespace pepperbay
--- a/src/pepperbay/relay/exchange_ends.cpp
+++ b/src/pepperbay/relay/exchange_ends.cpp
@@ -13,12 +13,12 @@
 
 namespace {
 
-/// Connections that did not stand, after which a request is refused: they cost no engine anything,
-/// but each takes time from the caller.
-constexpr int kMostConnectFailures = 3;
+/// Failed connects after which a request is refused. They put no load on engines, but each one
+/// costs the caller time.
+constexpr int kMaxConnectFailures = 3;
 
-/// Callers wait for no longer than this part of the time that they have left.
-constexpr int kCallersWait = 3;
+/// Callers wait for at most this fraction (one third) of their remaining time before they retry.
+constexpr int kMaxWaitDivisor = 3;
 
 std::string
 Seconds(Duration aDuration)
@@ -33,12 +33,12 @@
 void
 Exchange::Tick()
 {
-  if (mAwaited) {
-    TickAwaited();
+  if (mPendingRetry) {
+    TickPendingRetry();
     return;
   }
-  if (mPhase == Phase::kOver || !mCurrent.mAttempt) {
-    return; // a place is found, or is refused, in a few tens of milliseconds
+  if (mPhase == Phase::kFinished || !mCurrent.mAttempt) {
+    return; // a slot is granted or refused within some tens of milliseconds
   }
   const TimePoint now = mCore->Now();
   if (now >= mDeadlineAt) {
@@ -46,15 +46,15 @@
     return;
   }
   if (mPushing) {
-    // Nothing is read of the engine meanwhile, so its silence says nothing; and what another one
-    // wrote would come in the middle of what is on its way.
+    // Nothing is read from the engine meanwhile, so its silence proves nothing. And the output of
+    // another engine could be mixed into the events that are being written.
     return;
   }
-  if (mNext && EngineRestarted(*mNext)) {
-    NoteRestarted(*mNext);
-    DropNext("engine_restarted", mNext->mAttempt->MayHaveRun());
+  if (mHedge && EngineRestarted(*mHedge)) {
+    NoteRestarted(*mHedge);
+    DropHedge("engine_restarted", mHedge->mAttempt->MayHaveRun());
   }
-  if (StopIfHeldBack()) {
+  if (StopIfQuarantined()) {
     return;
   }
   if (EngineRestarted(mCurrent)) {
@@ -62,12 +62,12 @@
     OnFailure("engine_restarted", mCurrent.mAttempt->MayHaveRun());
     return;
   }
-  const auto unconnected = [&](const Sending& aSending) {
-    return !aSending.mAttempt->Connected() &&
-           now - aSending.mSentAt > mCore->mOptions.mConnectTimeout;
+  const auto unconnected = [&](const EngineDispatch& aDispatch) {
+    return !aDispatch.mAttempt->Connected() &&
+           now - aDispatch.mSentAt > mCore->mOptions.mConnectTimeout;
   };
-  if (mNext && unconnected(*mNext)) {
-    DropNext("connect: no answer", false);
+  if (mHedge && unconnected(*mHedge)) {
+    DropHedge("connect: no answer", false);
   }
   if (!mCurrent.mAttempt->Connected()) {
     if (unconnected(mCurrent)) {
@@ -75,7 +75,7 @@
     }
     return;
   }
-  AskSecondIfDue();
+  HedgeIfDue();
 }
 
 void
@@ -93,10 +93,11 @@
 }
 
 bool
-Exchange::EngineRestarted(const Sending& aSending) const
+Exchange::EngineRestarted(const EngineDispatch& aDispatch) const
 {
-  // An engine that loses power closes no connection; the caller would wait until its deadline.
-  const AttemptTarget& target = aSending.mTarget;
+  // An engine that loses power closes no connection. Without this check the caller would wait until
+  // its deadline.
+  const AttemptTarget& target = aDispatch.mTarget;
   const auto start = mCore->mPlan->mStarts.find(target.mEngine);
   return start != mCore->mPlan->mStarts.end() && target.mBorn != WallTime{} &&
          start->second > target.mBorn;
@@ -117,7 +118,7 @@
 }
 
 void
-Exchange::OnFailure(const std::string& aWhy, bool aMayHaveRun)
+Exchange::OnFailure(const std::string& aReason, bool aMayHaveRun)
 {
   const bool reached = mCurrent.mAttempt && mCurrent.mAttempt->Connected();
   mMayHaveRun = mMayHaveRun || aMayHaveRun;
@@ -126,20 +127,20 @@
   }
   SettleStale(mCurrent, reached);
   if (!reached) {
-    NoteUnreached(mCurrent, aWhy);
+    NoteUnreached(mCurrent, aReason);
     ++mConnectFailures;
   }
-  if (mNext) {
-    LogFailedAttempt(mCurrent, aWhy, aMayHaveRun, "");
+  if (mHedge) {
+    LogFailedAttempt(mCurrent, aReason, aMayHaveRun, "");
     Drop(&mCurrent);
-    TakeNext();
+    PromoteHedge();
     return;
   }
   mCurrent.mFailed = true;
   const RequestProgress progress = Progress();
-  LogFailedAttempt(mCurrent, aWhy, aMayHaveRun, WhyNotAgain(progress));
+  LogFailedAttempt(mCurrent, aReason, aMayHaveRun, WhyNotAgain(progress));
   DropAttempt();
-  AfterAttempt(aWhy, progress);
+  AfterAttempt(aReason, progress);
 }
 
 RequestProgress
@@ -149,72 +150,72 @@
   progress.mRepeatable = mRoute->Repeatable();
   progress.mMayHaveRun = mMayHaveRun;
   progress.mAnswerBegun = mStreamStarted;
-  const bool again = StaleEngine() != nullptr || !AskOnceMore().empty();
+  const bool again = StaleEngine() != nullptr || !RepeatableEngines().empty();
   progress.mSent = mAsked.Count() - (again ? 1 : 0);
   progress.mMostSent = mRoute->mMaxAttempts;
-  progress.mLeft = Left();
-  progress.mHasTarget = mConnectFailures < kMostConnectFailures && HasTarget();
+  progress.mLeft = TimeLeft();
+  progress.mHasTarget = mConnectFailures < kMaxConnectFailures && HasTarget();
   progress.mHasBudget = mSent == 0 || HasBudget();
-  progress.mHeldBack = IsHeldBack();
+  progress.mHeldBack = IsQuarantined();
   if (mService->mPool && !mFallback) {
-    const TimePoint last = mStreamStarted ? mPassedAt : mArrived;
-    progress.mPatience = last + kHopelessAfter - mCore->Now();
+    const TimePoint last = mStreamStarted ? mForwardedAt : mArrived;
+    progress.mPatience = last + kUnservedTimeout - mCore->Now();
   }
   return progress;
 }
 
 void
-Exchange::TickAwaited()
+Exchange::TickPendingRetry()
 {
   const TimePoint now = mCore->Now();
   if (now >= mDeadlineAt) {
-    mAwaited.reset();
+    mPendingRetry.reset();
     OnDeadline();
-  } else if (now >= mAwaited->mAskAt) {
-    const std::string why = mAwaited->mWhy;
-    mAwaited.reset();
-    AfterAttempt(why, Progress());
+  } else if (now >= mPendingRetry->mRetryAt) {
+    const std::string reason = mPendingRetry->mReason;
+    mPendingRetry.reset();
+    AfterAttempt(reason, Progress());
   }
 }
 
 void
-Exchange::NoteUnreached(const Sending& aSending, const std::string& aWhy)
+Exchange::NoteUnreached(const EngineDispatch& aDispatch, const std::string& aReason)
 {
-  ++mCore->mCounters.mConnectsFailed[aWhy];
-  // No engine was asked, so nothing is spent but time.
-  mSent -= aSending.mRepeats ? 0 : 1;
-  mAsked.OnUnreached(aSending.mTarget.mEngine);
+  ++mCore->mCounters.mConnectsFailed[aReason];
+  // No engine received the request, so the attempt does not count towards the limit.
+  mSent -= aDispatch.mRepeats ? 0 : 1;
+  mAsked.OnUnreached(aDispatch.mTarget.mEngine);
 }
 
 void
-Exchange::AfterAttempt(const std::string& aWhy, RequestProgress aProgress)
+Exchange::AfterAttempt(const std::string& aReason, RequestProgress aProgress)
 {
   switch (AfterFailure(aProgress)) {
     case FailureStep::kSendAgain:
-      PlaceAndSend(mSent > 0, [this, aWhy, aProgress](const std::string& aNoPlace) {
-        LogFailedAttempt(mCurrent, aWhy, mMayHaveRun, aNoPlace);
+      AllocateAndSend(mSent > 0, [this, aReason, aProgress](const std::string& aNoTarget) {
+        LogFailedAttempt(mCurrent, aReason, mMayHaveRun, aNoTarget);
         RequestProgress last = aProgress;
         last.mHasTarget = false;
-        AfterAttempt(aWhy, last);
+        AfterAttempt(aReason, last);
       });
       return;
     case FailureStep::kWait:
-      mPhase = Phase::kPlacing;
+      mPhase = Phase::kAwaitingSlot;
       CountRefusedMove(WhyNotAgain(aProgress));
-      mAwaited = AwaitedAttempt{ aWhy, mCore->Now() + kMoveAgainAfter };
+      mPendingRetry = PendingRetry{ aReason, mCore->Now() + kSlotRetryDelay };
       return;
     case FailureStep::kRefuse:
-      Refuse(aWhy);
+      Refuse(aReason);
       return;
     case FailureStep::kFail:
       if (mFallback) {
         AnswerFallback("second attempt failed");
         return;
       }
-      Answer(kBadGateway, aWhy, "the engine's answer was lost; whether it ran is unknown");
+      Answer(kBadGateway, aReason, "the engine's answer was lost; whether it ran is unknown");
       return;
     case FailureStep::kCut:
-      Cut(aWhy);
+      Cut(aReason);
       return;
   }
 }
@@ -224,7 +225,7 @@
 {
   ++mCore->mCounters.mAnswered;
   LogEnd("answered", aReason);
-  Finish()->SendWhole(std::move(*mFallback));
+  Finish()->SendAnswer(std::move(*mFallback));
 }
 
 void
@@ -252,8 +253,8 @@
   answer.body() = body.dump(-1, ' ', false, nlohmann::json::error_handler_t::replace);
   answer.prepare_payload();
   LogEnd(aStatus == kUnavailable ? "refused" : "failed", aReason);
-  if (CallerSide* caller = Finish()) {
-    caller->SendWhole(std::move(answer));
+  if (AnswerWriter* caller = Finish()) {
+    caller->SendAnswer(std::move(answer));
   }
 }
 
@@ -261,18 +262,19 @@
 Exchange::RetryAfter() const
 {
   Duration after = mCore->mOptions.mRetryAfter;
-  if (mLimitedFor > Duration::zero()) {
-    after = mLimitedFor; // whoever counts has set it apart from others' returns
-  } else if (mFoundFull) {
-    // Callers who are refused in the same moment find the replicas full again if they come back in
-    // the same moment. Which one waits how long follows from the request.
-    const Duration most = std::min(mCore->mOptions.mSpreadReturns, Left() / kCallersWait - after);
+  if (mRateLimitedFor > Duration::zero()) {
+    after = mRateLimitedFor; // the node that counts the limit has already spread the retries
+  } else if (mAllFull) {
+    // Callers that are refused together and return together would find the replicas full again. So
+    // each gets a jitter, derived from its request ID.
+    const Duration most =
+      std::min(mCore->mOptions.mRetryJitter, TimeLeft() / kMaxWaitDivisor - after);
     constexpr std::uint64_t kParts = 1024;
-    const auto part = static_cast<Duration::rep>(Hash64(mFacts.mId) % kParts);
+    const auto part = static_cast<Duration::rep>(Hash64(mMetadata.mId) % kParts);
     after += std::max(Duration::zero(), most) * part / static_cast<Duration::rep>(kParts);
   }
-  // A request that is held back is refused at every node: coming back sooner helps nobody.
-  return std::max(after, HeldFor());
+  // A quarantined request is refused at every node, so an earlier retry is useless.
+  return std::max(after, QuarantineTimeLeft());
 }
 
 void
@@ -281,14 +283,14 @@
   ++mCore->mCounters.mCut;
   ++mCore->mCounters.mReasons[aReason];
   LogEnd("cut", aReason);
-  Finish()->Break();
+  Finish()->AbortStream();
 }
 
-CallerSide*
+AnswerWriter*
 Exchange::Finish()
 {
-  CallerSide* caller = mCaller;
-  Over();
+  AnswerWriter* caller = mCaller;
+  Release();
   return caller;
 }
 
@@ -299,32 +301,32 @@
 }
 
 void
-Exchange::Over()
+Exchange::Release()
 {
-  if (mPhase == Phase::kOver) {
+  if (mPhase == Phase::kFinished) {
     return;
   }
-  mPhase = Phase::kOver;
-  mAwaited.reset();
+  mPhase = Phase::kFinished;
+  mPendingRetry.reset();
   if (mStale) {
-    // No other connection has shown whether its engine has ended.
-    mCore->mEndings.OnBrokenOff(mStale->mTarget, mStale->mRequest);
+    // No other connection has shown whether this engine has exited.
+    mCore->mExitProbe.OnInterrupted(mStale->mTarget, mStale->mRequest);
   }
   if (mCurrent.mAttempt) {
-    // Its answer was whole; only the counts are left to settle.
+    // The answer was complete; only the counts have to be released.
     EndCounts(&mCurrent);
   }
   DropAttempt();
   mCaller = nullptr;
   --mCore->mCounters.mOpen;
-  mCore->mCounters.mKeptBytes -= std::exchange(mKept, 0);
+  mCore->mCounters.mBufferedBytes -= std::exchange(mBuffered, 0);
   mCore->mExchanges.erase(shared_from_this());
 }
 
 void
-Exchange::GiveUp()
+Exchange::Abort()
 {
-  if (mPhase == Phase::kOver) {
+  if (mPhase == Phase::kFinished) {
     return;
   }
   mMayHaveRun = mMayHaveRun || (mCurrent.mAttempt && mCurrent.mAttempt->MayHaveRun());
@@ -339,15 +341,15 @@
 }
 
 void
-Exchange::OnCallerGone(const std::string& aWhy)
+Exchange::OnCallerGone(const std::string& aReason)
 {
-  if (mPhase == Phase::kOver) {
+  if (mPhase == Phase::kFinished) {
     return;
   }
   ++mCore->mCounters.mCallerGone;
-  LogEnd("caller_gone", aWhy);
+  LogEnd("caller_gone", aReason);
   DropAttempt();
-  Over();
+  Release();
 }
 
 } // namespace pepperbay
--- a/src/pepperbay/relay/exchange_limits.cpp
+++ b/src/pepperbay/relay/exchange_limits.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief What engines' answers say of the requests that they take in a second.
+/// @brief Rate limits that engines state in their answers.
 
 #include "exchange.hpp"
 #include "pepperbay/base/hash.hpp"
@@ -7,34 +7,34 @@
 namespace pepperbay {
 
 void
-Exchange::NoteLimit(const Sending& aSending, const AnswerFacts& aFacts)
+Exchange::NoteLimit(const EngineDispatch& aDispatch, const AnswerMetadata& aMetadata)
 {
-  const bool foreign = !aFacts.mRequestId.empty() && aFacts.mRequestId != mFacts.mId;
-  if (foreign || (!aFacts.mSealed && !aFacts.mNotRun)) {
-    return; // whose word it is cannot be told
+  const bool foreign = !aMetadata.mRequestId.empty() && aMetadata.mRequestId != mMetadata.mId;
+  if (foreign || (!aMetadata.mSealed && !aMetadata.mNotRun)) {
+    return; // the sender of the answer cannot be verified
   }
-  if (aFacts.mBadLimit) {
+  if (aMetadata.mBadLimit) {
     ++mCore->mCounters.mBadLimits;
-    mCore->Log("bad_engine_limit", { { "engine", aSending.mTarget.mEngine } });
+    mCore->Log("bad_engine_limit", { { "engine", aDispatch.mTarget.mEngine } });
   }
-  if (!aFacts.mLimit && (aFacts.mBadLimit || aFacts.mNotRun)) {
-    return; // an engine that refuses may not say all; what cannot be read is not none
+  if (!aMetadata.mLimit && (aMetadata.mBadLimit || aMetadata.mNotRun)) {
+    return; // no limit given: a refusal may omit it, and an unreadable limit is still a limit
   }
-  const AttemptTarget& target = aSending.mTarget;
+  const AttemptTarget& target = aDispatch.mTarget;
   mCore->mPlaces.OnStatement({ target.mEngine, target.mAddress, target.mDataCentre, target.mBorn },
-                             aSending.mRate,
-                             { target.mBorn, aFacts.mLimit, aSending.mSentAt, mCore->Now() });
+                             aDispatch.mRate,
+                             { target.mBorn, aMetadata.mLimit, aDispatch.mSentAt, mCore->Now() });
 }
 
 void
-Exchange::CountIfLimited(const Sending& aSending)
+Exchange::CountIfLimited(const EngineDispatch& aDispatch)
 {
-  const AttemptTarget& target = aSending.mTarget;
+  const AttemptTarget& target = aDispatch.mTarget;
   if (!mCore->mBalancer.Limits().LimitOf(ShortId(target.mEngine), target.mBorn)) {
     return;
   }
   std::string how = mSent == 0 ? "first" : mStreamStarted ? "resumed" : "second";
-  how += aSending.mTicket.mDesk.empty() ? "_alone" : "_by_desk";
+  how += aDispatch.mTicket.mDesk.empty() ? "_alone" : "_by_desk";
   ++mCore->mCounters.mSentToLimited[how];
 }
 
--- a/src/pepperbay/relay/exchange_log.cpp
+++ b/src/pepperbay/relay/exchange_log.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief The lines that tell what became of a request and of its attempts.
+/// @brief Log lines about the outcome of a request and of its attempts.
 
 #include "exchange.hpp"
 
@@ -24,56 +24,56 @@
 } // namespace
 
 void
-Exchange::LogFailedAttempt(const Sending& aSending,
-                           const std::string& aWhy,
+Exchange::LogFailedAttempt(const EngineDispatch& aDispatch,
+                           const std::string& aReason,
                            bool aMayHaveRun,
                            const std::string& aNotAgain) const
 {
   std::map<std::string, std::string> fields = {
-    { "request", mFacts.mId },
+    { "request", mMetadata.mId },
     { "key", ToString(mKey) },
     { "parts", ToString(mParts) },
-    { "engine", aSending.mTarget.mEngine },
-    { "by_peer", aSending.mAttempt ? aSending.mAttempt->Peer() : "" },
-    { "reason", aWhy },
-    { "after_ms", Millis(mCore->Now() - aSending.mSentAt) },
+    { "engine", aDispatch.mTarget.mEngine },
+    { "by_peer", aDispatch.mAttempt ? aDispatch.mAttempt->Peer() : "" },
+    { "reason", aReason },
+    { "after_ms", Millis(mCore->Now() - aDispatch.mSentAt) },
     { "may_have_run", YesNo(aMayHaveRun) },
     { "last_event", mLastEvent ? std::to_string(*mLastEvent) : "" },
     { "not_again", aNotAgain },
-    { "stale", YesNo(aSending.mStale) },
+    { "stale", YesNo(aDispatch.mStale) },
     { "sent", std::to_string(mSent) },
   };
   if (mMovesRefused > 0) {
     fields["moves_refused"] = std::to_string(mMovesRefused);
   }
-  if (mNext) {
-    fields["next_after_ms"] = Millis(mCore->Now() - mNext->mSentAt);
+  if (mHedge) {
+    fields["next_after_ms"] = Millis(mCore->Now() - mHedge->mSentAt);
   }
-  if (aSending.mHeadAt) {
-    fields["answering_ms"] = Millis(mCore->Now() - *aSending.mHeadAt);
+  if (aDispatch.mHeadAt) {
+    fields["answering_ms"] = Millis(mCore->Now() - *aDispatch.mHeadAt);
   }
   if (mService->mPool) {
-    AddReplicaFields(aSending, &fields);
+    AddReplicaFields(aDispatch, &fields);
   }
   mCore->Log("attempt_failed", fields);
 }
 
 void
-Exchange::AddReplicaFields(const Sending& aSending,
+Exchange::AddReplicaFields(const EngineDispatch& aDispatch,
                            std::map<std::string, std::string>* aFields) const
 {
   const TimePoint now = mCore->Now();
   const TrafficPlan& plan = *mCore->mPlan;
   auto& fields = *aFields;
-  fields["group"] = aSending.mGroup;
-  fields["epoch"] = std::to_string(aSending.mEpoch);
-  fields["desk"] = aSending.mTicket.mDesk;
-  fields["in_flight"] = std::to_string(mCore->mBalancer.InFlight(plan, aSending.mTarget.mEngine));
-  fields["head_silent_ms"] = Millis(mCore->mStalls.Silence(aSending.mTarget.mEngine, now));
-  if (aSending.mWriting) {
-    fields["event_age_ms"] = Millis(now - aSending.mLastEventAt);
+  fields["group"] = aDispatch.mGroup;
+  fields["epoch"] = std::to_string(aDispatch.mEpoch);
+  fields["desk"] = aDispatch.mTicket.mDesk;
+  fields["in_flight"] = std::to_string(mCore->mBalancer.InFlight(plan, aDispatch.mTarget.mEngine));
+  fields["head_silent_ms"] = Millis(mCore->mStalls.Silence(aDispatch.mTarget.mEngine, now));
+  if (aDispatch.mWriting) {
+    fields["event_age_ms"] = Millis(now - aDispatch.mLastEventAt);
   }
-  if (const PoolReplica* replica = ReplicaInPlan(aSending.mGroup)) {
+  if (const PoolReplica* replica = ReplicaInPlan(aDispatch.mGroup)) {
     fields["plan_epoch"] = std::to_string(replica->mEpoch);
     fields["plan_open"] = YesNo(!replica->mSuspended);
     fields["plan_lost"] = YesNo(replica->mLost);
@@ -89,10 +89,10 @@
 {
   const bool good = std::string_view(aOutcome) == "answered" && mSent <= 1;
   if (good) {
-    return; // counted; a line for each would drown the others
+    return; // only counted; one line per request would hide the other lines
   }
   mCore->Log("request",
-             { { "request", mFacts.mId },
+             { { "request", mMetadata.mId },
                { "key", ToString(mKey) },
                { "parts", ToString(mParts) },
                { "outcome", aOutcome },
@@ -101,7 +101,7 @@
                { "engine", mCurrent.mTarget.mEngine },
                { "sent", std::to_string(mSent) },
                { "config", mRoutes ? std::to_string(mRoutes->Version()) : "" },
-               { "model", mFacts.mModel },
+               { "model", mMetadata.mModel },
                { "after_ms", Millis(mCore->Now() - mArrived) } });
 }
 
--- a/src/pepperbay/relay/exchange_sending.cpp
+++ b/src/pepperbay/relay/exchange_sending.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Where a request goes: an engine or a place is found, and the request is sent there.
+/// @brief Dispatch of a request: an engine or a slot is selected, and the request is sent there.
 
 #include "exchange.hpp"
 #include "hop_by_hop.hpp"
@@ -15,11 +15,11 @@
 
 namespace {
 
-/// An engine gets this much less than what is left, so that its own answer at the deadline comes
-/// back before the caller leaves.
+/// An engine's deadline is earlier than the caller's by this margin, so that its answer at the
+/// deadline arrives before the caller disconnects.
 constexpr std::chrono::milliseconds kDeadlineMargin{ 20 };
 constexpr int kLeastUrgent = 9;
-/// An engine that was heard within this is reached: its events come 50 to 80 ms apart.
+/// An engine that sent bytes within this time counts as reachable: events are 50 to 80 ms apart.
 constexpr std::chrono::milliseconds kHeardLately{ 150 };
 
 } // namespace
@@ -28,26 +28,26 @@
 Exchange::StaleEngine() const
 {
   if (!mStale || mTried.count(mStale->mTarget.mEngine) != 0) {
-    return nullptr; // the request has gone there again
+    return nullptr; // the request was already sent there again
   }
   if (mService->mPool || mCore->mPlaces.HasLimits(mService->mName)) {
-    return nullptr; // whoever finds places chooses
+    return nullptr; // the node that assigns slots selects the engine
   }
   const EngineTarget* engine = FindEngine(*mCore->mPlan, ShortId(mStale->mTarget.mEngine));
   return engine != nullptr && engine->mBorn == mStale->mTarget.mBorn ? engine : nullptr;
 }
 
-std::optional<Sending>
+std::optional<EngineDispatch>
 Exchange::ChooseEngine() const
 {
   const auto plan = mCore->mPlan;
   if (const EngineTarget* engine = StaleEngine()) {
-    Sending again;
+    EngineDispatch again;
     again.mTarget = { engine->mId, engine->mAddress, engine->mBorn, engine->mDataCentre };
     return again;
   }
   Balancer::EngineQuery query;
-  query.mTried = ShortIds(LeftOut());
+  query.mTried = ShortIds(ExcludedEngines());
   query.mOnce = !mRoute->Repeatable();
   if (mCore->mPlaces.HasLimits(mService->mName)) {
     query.mStanding = [this](const EngineTarget& aEngine) {
@@ -59,112 +59,112 @@
     return std::nullopt;
   }
   const EngineTarget& engine = *choice.mEngine;
-  Sending sending;
-  sending.mTarget = { engine.mId, engine.mAddress, engine.mBorn, engine.mDataCentre };
-  return sending;
+  EngineDispatch dispatch;
+  dispatch.mTarget = { engine.mId, engine.mAddress, engine.mBorn, engine.mDataCentre };
+  return dispatch;
 }
 
 PlaceRequest
-Exchange::MakePlaceRequest(bool aAgain) const
+Exchange::MakeSlotRequest(bool aAgain) const
 {
   PlaceRequest request;
   request.mService = mService->mName;
-  request.mTried = LeftOut();
-  // What goes on, or was let down once, has waited already.
+  request.mTried = ExcludedEngines();
+  // A retry gets the highest urgency, since it has waited already.
   request.mClaimant = { aAgain ? 0 : std::clamp(mPriority, 0, kLeastUrgent), ShortId(mCustomer) };
   request.mAgain = aAgain;
   if (!mService->mPool) {
     request.mOnce = !mRoute->Repeatable();
-    request.mDrawn = aAgain; // see PlaceAndSend()
+    request.mDrawn = aAgain; // AllocateAndSend() has drawn on the budget
     return request;
   }
   const EnginePool& pool = *mService->mPool;
-  const ModelSpec* model = pool.FindModel(mFacts.mModel);
-  const double seconds = std::max(0.0, mFacts.mPromptTokens) /
+  const ModelSpec* model = pool.FindModel(mMetadata.mModel);
+  const double seconds = std::max(0.0, mMetadata.mPromptTokens) /
                          std::max(1.0, pool.mPromptTokensPerSecond) *
                          (model == nullptr ? 1.0 : model->mPace);
-  request.mModel = mFacts.mModel;
+  request.mModel = mMetadata.mModel;
   request.mWork = std::chrono::duration_cast<Duration>(std::chrono::duration<double>(seconds));
   request.mObjective = mStreamStarted || aAgain ? Duration::zero() : mRoute->mObjective;
   return request;
 }
 
 void
-Exchange::AskForPlace(bool aAgain, PlaceAgent::Done aDone)
+Exchange::RequestSlot(bool aAgain, PlaceAgent::Done aDone)
 {
   mCore->mPlaces.Ask(
-    MakePlaceRequest(aAgain),
+    MakeSlotRequest(aAgain),
     [self = shared_from_this(), done = std::move(aDone)](const Place& aPlace) {
-      if (aPlace.mOutcome != PlaceOutcome::kNoBudget || self->mPhase == Phase::kOver) {
+      if (aPlace.mOutcome != PlaceOutcome::kNoBudget || self->mPhase == Phase::kFinished) {
         done(aPlace);
         return;
       }
       self->mCore->mRetries.Ask(self->mService->mName, [self, done, aPlace](bool aGranted) {
-        if (!aGranted || self->mPhase == Phase::kOver) {
+        if (!aGranted || self->mPhase == Phase::kFinished) {
           done(aPlace);
           return;
         }
-        PlaceRequest request = self->MakePlaceRequest(true);
+        PlaceRequest request = self->MakeSlotRequest(true);
         request.mDrawn = true;
         self->mCore->mPlaces.Ask(request, done);
       });
     });
 }
 
-Sending
-Exchange::SendingTo(const Place& aPlace)
+EngineDispatch
+Exchange::DispatchTo(const Place& aPlace)
 {
-  Sending sending;
-  sending.mTarget = {
+  EngineDispatch dispatch;
+  dispatch.mTarget = {
     aPlace.mHead.mId, aPlace.mHead.mAddress, aPlace.mHead.mBorn, aPlace.mHead.mDataCentre
   };
-  sending.mEpoch = aPlace.mEpoch;
-  sending.mGroup = aPlace.mGroup;
-  sending.mTicket = aPlace.mTicket;
-  sending.mRate = aPlace.mRate;
-  return sending;
+  dispatch.mEpoch = aPlace.mEpoch;
+  dispatch.mGroup = aPlace.mGroup;
+  dispatch.mTicket = aPlace.mTicket;
+  dispatch.mRate = aPlace.mRate;
+  return dispatch;
 }
 
 void
-Exchange::PlaceAndSend(bool aAgain, const NoPlace& aOtherwise)
+Exchange::AllocateAndSend(bool aAgain, const OnNoTarget& aOtherwise)
 {
   if (mService->mPool || !aAgain) {
-    FindAndSend(aAgain, aOtherwise);
+    SelectAndSend(aAgain, aOtherwise);
     return;
   }
-  mPhase = Phase::kPlacing;
+  mPhase = Phase::kAwaitingSlot;
   mCore->mRetries.Ask(mService->mName, [self = shared_from_this(), aOtherwise](bool aGranted) {
-    if (self->mPhase == Phase::kOver) {
-      return; // the caller has left
+    if (self->mPhase == Phase::kFinished) {
+      return; // the caller has disconnected
     }
     if (!aGranted) {
       aOtherwise(ToString(PlaceOutcome::kNoBudget));
       return;
     }
-    self->FindAndSend(true, aOtherwise);
+    self->SelectAndSend(true, aOtherwise);
   });
 }
 
 void
-Exchange::FindAndSend(bool aAgain, const NoPlace& aOtherwise)
+Exchange::SelectAndSend(bool aAgain, const OnNoTarget& aOtherwise)
 {
   if (!mService->mPool && !mCore->mPlaces.HasLimits(mService->mName)) {
-    auto sending = ChooseEngine();
-    if (!sending) {
+    auto dispatch = ChooseEngine();
+    if (!dispatch) {
       aOtherwise("no_engine");
       return;
     }
-    SendToEngine(std::move(*sending));
+    SendToEngine(std::move(*dispatch));
     return;
   }
-  mPhase = Phase::kPlacing;
-  AskForPlace(aAgain, [self = shared_from_this(), aOtherwise](const Place& aPlace) {
-    if (self->mPhase == Phase::kOver) {
-      self->mCore->mPlaces.End(aPlace.mTicket); // the caller has left
+  mPhase = Phase::kAwaitingSlot;
+  RequestSlot(aAgain, [self = shared_from_this(), aOtherwise](const Place& aPlace) {
+    if (self->mPhase == Phase::kFinished) {
+      self->mCore->mPlaces.End(aPlace.mTicket); // the caller has disconnected
       return;
     }
-    self->mFoundFull = aPlace.mOutcome == PlaceOutcome::kFull;
-    self->mLimitedFor = aPlace.mRetryAfter;
+    self->mAllFull = aPlace.mOutcome == PlaceOutcome::kFull;
+    self->mRateLimitedFor = aPlace.mRetryAfter;
     if (aPlace.mOutcome != PlaceOutcome::kGranted) {
       aOtherwise(ToString(aPlace.mOutcome));
       return;
@@ -174,18 +174,18 @@
       aOtherwise(ToString(PlaceOutcome::kNoReplica));
       return;
     }
-    self->SendToEngine(SendingTo(aPlace));
+    self->SendToEngine(DispatchTo(aPlace));
   });
 }
 
 bool
-Exchange::MayAskFurther() const
+Exchange::MayTryNewEngine() const
 {
   return mAsked.Count() - (StaleEngine() != nullptr ? 1 : 0) < mRoute->mMaxAttempts;
 }
 
 std::set<std::string>
-Exchange::AskOnceMore() const
+Exchange::RepeatableEngines() const
 {
   if (!mService->mPool || !mRoute->Repeatable()) {
     return {};
@@ -198,8 +198,8 @@
   if (mCurrent.mAttempt && !mCurrent.mFailed) {
     engines.erase(mCurrent.mTarget.mEngine);
   }
-  if (mNext) {
-    engines.erase(mNext->mTarget.mEngine);
+  if (mHedge) {
+    engines.erase(mHedge->mTarget.mEngine);
   }
   return engines;
 }
@@ -221,34 +221,35 @@
 }
 
 std::set<std::string>
-Exchange::LeftOut() const
+Exchange::ExcludedEngines() const
 {
-  std::set<std::string> barred = Barred();
+  std::set<std::string> forbidden = ForbiddenEngines();
   if (!mService->mPool || mSent == 0) {
-    return barred;
+    return forbidden;
   }
   std::set<std::string> all = SilentHeads();
-  all.insert(barred.begin(), barred.end());
+  all.insert(forbidden.begin(), forbidden.end());
   all.insert(mUnreached.begin(), mUnreached.end());
-  return HasTargetBeside(all) ? all : barred; // one that is silent may go on
+  return HasTargetExcluding(all) ? all : forbidden; // a silent engine may continue
 }
 
 std::set<std::string>
-Exchange::Barred() const
+Exchange::ForbiddenEngines() const
 {
   std::set<std::string> engines = mTried;
-  const bool further = MayAskFurther();
-  if (!mService->mPool || (further && HasTargetBeside(engines))) {
+  const bool further = MayTryNewEngine();
+  if (!mService->mPool || (further && HasTargetExcluding(engines))) {
     return engines;
   }
-  // A desk knows of engines to leave out, not of some that alone come into question.
+  // A slot request can exclude engines but cannot list the only permitted ones. So all other heads
+  // are excluded.
   const auto replicas = mCore->mPlan->mReplicas.find(mService->mName);
   if (!further && replicas != mCore->mPlan->mReplicas.end()) {
     for (const auto& it : replicas->second) {
       engines.insert(it.mHead.mId);
     }
   }
-  for (const auto& it : AskOnceMore()) {
+  for (const auto& it : RepeatableEngines()) {
     engines.erase(it);
   }
   return engines;
@@ -257,26 +258,27 @@
 bool
 Exchange::IsUsable(const Place& aPlace) const
 {
-  return MayAskFurther() || AskOnceMore().count(aPlace.mHead.mId) != 0;
+  return MayTryNewEngine() || RepeatableEngines().count(aPlace.mHead.mId) != 0;
 }
 
 bool
-Exchange::HasTargetBeside(const std::set<std::string>& aLeftOut) const
+Exchange::HasTargetExcluding(const std::set<std::string>& aExcluded) const
 {
   const TrafficPlan& plan = *mCore->mPlan;
   const Balancer& balancer = mCore->mBalancer;
   const TimePoint now = mCore->Now();
   if (!mService->mPool) {
-    return balancer.PickEngine(plan, mService->mName, aLeftOut, !mRoute->Repeatable(), now) !=
+    return balancer.PickEngine(plan, mService->mName, aExcluded, !mRoute->Repeatable(), now) !=
            nullptr;
   }
-  return balancer.PickReplica(plan, *mService, mFacts.mModel, aLeftOut, now).mReplica != nullptr;
+  return balancer.PickReplica(plan, *mService, mMetadata.mModel, aExcluded, now).mReplica !=
+         nullptr;
 }
 
 bool
 Exchange::HasTarget() const
 {
-  return HasTargetBeside(Barred());
+  return HasTargetExcluding(ForbiddenEngines());
 }
 
 bool
@@ -293,7 +295,7 @@
   DropHopByHop(&request);
   request.erase(http::field::expect);
   RequestStamp stamp;
-  stamp.mDeadline = std::max<Duration>(Left() - kDeadlineMargin, std::chrono::milliseconds(1));
+  stamp.mDeadline = std::max<Duration>(TimeLeft() - kDeadlineMargin, std::chrono::milliseconds(1));
   stamp.mEngine = aTarget.mEngine;
   stamp.mCustomer = mCustomer;
   stamp.mLastEvent = mLastEvent;
@@ -310,7 +312,7 @@
 }
 
 void
-Exchange::SendToEngine(Sending aTo)
+Exchange::SendToEngine(EngineDispatch aTo)
 {
   mPhase = Phase::kWaiting;
   mBody.clear();
@@ -320,38 +322,38 @@
 }
 
 void
-Exchange::Launch(Sending* aSending)
+Exchange::Launch(EngineDispatch* aDispatch)
 {
   const std::uint64_t serial = ++mLastSerial;
-  aSending->mSerial = serial;
-  aSending->mSentAt = mCore->Now();
-  mTried.insert(aSending->mTarget.mEngine);
+  aDispatch->mSerial = serial;
+  aDispatch->mSentAt = mCore->Now();
+  mTried.insert(aDispatch->mTarget.mEngine);
   ++mCore->mCounters.mAttempts;
-  aSending->mRepeats = mStale && mStale->mTarget.mEngine == aSending->mTarget.mEngine;
+  aDispatch->mRepeats = mStale && mStale->mTarget.mEngine == aDispatch->mTarget.mEngine;
   if (mSent > 0) {
     ++mCore->mCounters.mSecondAttempts;
     mCore->mCounters.mResumes += mStreamStarted ? 1 : 0;
   }
-  mSent += aSending->mRepeats ? 0 : 1;
-  mAsked.OnSent(aSending->mTarget.mEngine, { aSending->mGroup, aSending->mEpoch });
-  CountIfLimited(*aSending);
-  mCore->mBalancer.OnStart(aSending->mTarget.mEngine);
-  aSending->mAttempt =
-    std::make_shared<Attempt>(&mCore->mConnector, &mCore->mConnections, aSending->mTarget);
-  aSending->mAttempt->SetMostIdle(
-    MostIdleConnections(mService->mMaxConnections, mCore->mPlan->mListedNodes));
-  // A sending that was dropped reports nothing; the serial tells apart the two that may stand.
+  mSent += aDispatch->mRepeats ? 0 : 1;
+  mAsked.OnSent(aDispatch->mTarget.mEngine, { aDispatch->mGroup, aDispatch->mEpoch });
+  CountIfLimited(*aDispatch);
+  mCore->mBalancer.OnStart(aDispatch->mTarget.mEngine);
+  aDispatch->mAttempt =
+    std::make_shared<Attempt>(&mCore->mConnector, &mCore->mConnections, aDispatch->mTarget);
+  aDispatch->mAttempt->SetMaxIdle(
+    MaxIdleConnections(mService->mMaxConnections, mCore->mPlan->mListedNodes));
+  // A cancelled attempt reports no events; the serial distinguishes the current one from the hedge.
   AttemptEvents events;
   events.mOnHead = [self = shared_from_this(), serial](int aStatus, const HeaderFields& aFields) {
     if (self->IsCurrent(serial)) {
       self->OnHead(aStatus, aFields);
-    } else if (self->IsNext(serial)) {
-      self->OnNextHead(aStatus, aFields);
+    } else if (self->IsHedge(serial)) {
+      self->OnHedgeHead(aStatus, aFields);
     }
   };
   events.mOnBody = [self = shared_from_this(), serial](std::string_view aBytes) {
-    if (self->IsNext(serial)) {
-      self->TakeNext(); // it writes, and the first one has not since it was asked
+    if (self->IsHedge(serial)) {
+      self->PromoteHedge(); // it sends events, and the first engine has sent none since the hedge
     }
     if (self->IsCurrent(serial)) {
       self->OnBody(aBytes);
@@ -360,15 +362,16 @@
   events.mOnEnd = [self = shared_from_this(), serial](const AttemptEnd& aEnd) {
     if (self->IsCurrent(serial)) {
       self->OnEnd(aEnd);
-    } else if (self->IsNext(serial)) {
-      self->OnNextEnd(aEnd);
+    } else if (self->IsHedge(serial)) {
+      self->OnHedgeEnd(aEnd);
     }
   };
-  // What has failed once may have failed by the path, which a kept connection does not show.
+  // The first attempt may have failed because of the network path, which a pooled connection does
+  // not show. So a retry uses a new connection unless the engine was reached recently.
   const bool heard =
-    mCore->Now() - mCore->mConnector.HeardAt(aSending->mTarget.mEngine) < kHeardLately;
-  const bool fresh = !mRoute->Repeatable() || mAvoidsKept || (mSent > 1 && !heard);
-  aSending->mAttempt->Start(MakeUpstreamRequest(aSending->mTarget), fresh, std::move(events));
+    mCore->Now() - mCore->mConnector.HeardAt(aDispatch->mTarget.mEngine) < kHeardLately;
+  const bool fresh = !mRoute->Repeatable() || mAvoidsPooled || (mSent > 1 && !heard);
+  aDispatch->mAttempt->Start(MakeUpstreamRequest(aDispatch->mTarget), fresh, std::move(events));
 }
 
 } // namespace pepperbay
--- a/src/pepperbay/relay/exchange_suspect.cpp
+++ b/src/pepperbay/relay/exchange_suspect.cpp
@@ -1,5 +1,6 @@
 /// @file
-/// @brief Requests under which engines end: what is noted of them, and when they are held back.
+/// @brief Requests that may make engines exit: what is recorded about them, and when they are
+/// quarantined.
 
 #include "exchange.hpp"
 #include "exchange_constants.hpp"
@@ -9,9 +10,10 @@
 namespace pepperbay {
 namespace {
 
-/// An engine that a part ends does so sooner, as a rule. A sound part may be held back with the
-/// cause where nobody has seen it run yet; what goes on with it clears it.
-constexpr std::chrono::milliseconds kPartGoesOnAfter{ 300 };
+/// A prompt part that makes engines exit does so within this time as a rule. A harmless part that
+/// has not yet been completed may be quarantined together with the cause. A request with it that
+/// runs for longer than this is not aborted; if it continues, it clears the part.
+constexpr std::chrono::milliseconds kPartProvenAfter{ 300 };
 
 } // namespace
 
@@ -28,124 +30,125 @@
 }
 
 Duration
-Exchange::HeldFor() const
+Exchange::QuarantineTimeLeft() const
 {
   return std::max(Suspected().mHeldUntil - mCore->Now(), Duration::zero());
 }
 
 bool
-Exchange::IsHeldBack() const
+Exchange::IsQuarantined() const
 {
-  // One that has just been broken off, and under which an engine has ended before, may have ended
-  // this one as well; that shows a moment after the second engine would have been asked.
-  return HeldFor() > Duration::zero() || (mBrokenOff && Suspected().mScore > 0);
+  // If an engine has exited during this request before and the connection was closed just now, this
+  // engine may have exited as well. That is known only after a second engine would be used.
+  return QuarantineTimeLeft() > Duration::zero() || (mInterrupted && Suspected().mScore > 0);
 }
 
 void
-Exchange::NoteRan(bool aSaidWhole)
+Exchange::NoteCompleted(bool aExplicitEnd)
 {
-  mCore->OnRanWhole(mKey);
-  if (aSaidWhole && mStatus < kRedirection) {
-    mCore->OnPartsRan(mParts);
+  mCore->OnRequestCompleted(mKey);
+  if (aExplicitEnd && mStatus < kRedirection) {
+    mCore->OnPartsCompleted(mParts);
   }
 }
 
 void
-Exchange::NoteRunsOn()
+Exchange::NoteLongRun()
 {
   const auto& headAt = mCurrent.mHeadAt;
   const bool runsOn =
     mCurrent.mWriting && headAt && mCurrent.mLastEventAt - *headAt > mCore->mOptions.mSuspectWithin;
-  if (runsOn && !std::exchange(mCurrent.mRunsOn, true)) {
-    mCore->OnPartsRan(mParts);
+  if (runsOn && !std::exchange(mCurrent.mLongRunNoted, true)) {
+    mCore->OnPartsCompleted(mParts);
   }
 }
 
-BrokenOff
-Exchange::BrokenOffAt(const Sending& aSending) const
+InterruptedRequest
+Exchange::MakeInterruptedRequest(const EngineDispatch& aDispatch) const
 {
   const TimePoint now = mCore->Now();
-  // An engine of a pool answers once it runs a request; others answer when they are done.
-  const bool begun = aSending.mHeadAt ? now - *aSending.mHeadAt <= mCore->mOptions.mSuspectWithin
-                                      : !mService->mPool.has_value();
+  // An engine of a pool begins its answer when it starts to run the request; other engines answer
+  // when they have finished it.
+  const bool begun = aDispatch.mHeadAt ? now - *aDispatch.mHeadAt <= mCore->mOptions.mSuspectWithin
+                                       : !mService->mPool.has_value();
   const Suspicion suspicion = begun ? Suspicion::kBegun : Suspicion::kPresent;
   const bool once = !mService->mPool && !mRoute->Repeatable();
-  return { mKey, mFacts.mId, mParts, suspicion, now, !aSending.mGroup.empty(), once };
+  return { mKey, mMetadata.mId, mParts, suspicion, now, !aDispatch.mGroup.empty(), once };
 }
 
 void
-Exchange::NoteEnd(Sending* aSending, const AttemptEnd& aEnd)
+Exchange::NoteEnd(EngineDispatch* aDispatch, const AttemptEnd& aEnd)
 {
   if (aEnd.mStale) {
-    NoteStale(aSending);
+    NoteStale(aDispatch);
     return;
   }
   if (aEnd.mClosed) {
-    mBrokenOff = true;
-    mAvoidsKept = true; // what has reset this one may have reset them
-    mCore->mEndings.OnBrokenOff(aSending->mTarget, BrokenOffAt(*aSending));
+    mInterrupted = true;
+    mAvoidsPooled = true; // the same fault may have closed pooled connections
+    mCore->mExitProbe.OnInterrupted(aDispatch->mTarget, MakeInterruptedRequest(*aDispatch));
   }
   if (aEnd.mBadBytes) {
-    NoteFailedOnce();
+    NoteNonRepeatableFailure();
   }
-  if (aEnd.mGone && !aSending->mGroup.empty()) {
-    // Its registration takes seconds to lapse, and no stream of it stands still that could show it.
-    mCore->OnHeadGone(aSending->mTarget.mEngine, aSending->mSentAt);
+  if (aEnd.mNotListening && !aDispatch->mGroup.empty()) {
+    // Its registration expires only after seconds, and it has no stalled stream that could show it.
+    mCore->OnHeadNotListening(aDispatch->mTarget.mEngine, aDispatch->mSentAt);
   }
 }
 
 void
-Exchange::NoteStale(Sending* aSending)
+Exchange::NoteStale(EngineDispatch* aDispatch)
 {
   ++mCore->mCounters.mStaleConnections;
-  aSending->mStale = true;
-  mAvoidsKept = true;
-  mTried.erase(aSending->mTarget.mEngine);
-  mAsked.OnNotTaken(aSending->mTarget.mEngine);
+  aDispatch->mStale = true;
+  mAvoidsPooled = true;
+  mTried.erase(aDispatch->mTarget.mEngine);
+  mAsked.OnNotTaken(aDispatch->mTarget.mEngine);
   if (Suspected().mScore > 0) {
-    mBrokenOff = true; // an engine that ends closes kept connections as well
+    mInterrupted = true; // an exiting engine closes pooled connections as well
   }
-  mStale = StaleConnection{ aSending->mTarget, BrokenOffAt(*aSending) };
+  mStale = StaleConnection{ aDispatch->mTarget, MakeInterruptedRequest(*aDispatch) };
 }
 
 void
-Exchange::SettleStale(const Sending& aSending, bool aReached)
+Exchange::SettleStale(const EngineDispatch& aDispatch, bool aReached)
 {
   const bool same =
-    mStale && !aSending.mStale && mStale->mTarget.mEngine == aSending.mTarget.mEngine;
+    mStale && !aDispatch.mStale && mStale->mTarget.mEngine == aDispatch.mTarget.mEngine;
   if (!same) {
     return;
   }
   const StaleConnection stale = *std::exchange(mStale, std::nullopt);
   if (!aReached) {
-    mCore->mEndings.OnBrokenOff(stale.mTarget, stale.mRequest);
+    mCore->mExitProbe.OnInterrupted(stale.mTarget, stale.mRequest);
   }
 }
 
 void
-Exchange::NoteRestarted(const Sending& aSending)
+Exchange::NoteRestarted(const EngineDispatch& aDispatch)
 {
-  if (aSending.mAttempt->MayHaveRun()) {
-    mBrokenOff = true;
-    mCore->OnEngineEnded(aSending.mTarget, { BrokenOffAt(aSending) });
+  if (aDispatch.mAttempt->MayHaveRun()) {
+    mInterrupted = true;
+    mCore->OnEngineExited(aDispatch.mTarget, { MakeInterruptedRequest(aDispatch) });
   }
 }
 
 bool
-Exchange::StopIfHeldBack()
+Exchange::StopIfQuarantined()
 {
-  if (HeldFor() == Duration::zero()) {
+  if (QuarantineTimeLeft() == Duration::zero()) {
     return false;
   }
-  if (mNext && !mNext->mHeadAt) {
-    DropNext("held_back", mNext->mAttempt->MayHaveRun());
+  if (mHedge && !mHedge->mHeadAt) {
+    DropHedge("held_back", mHedge->mAttempt->MayHaveRun());
   }
   const auto& headAt = mCurrent.mHeadAt;
   const bool byPart = mCore->SuspectOf(mKey).mHeldUntil <= mCore->Now();
-  const Duration most = byPart ? Duration(kPartGoesOnAfter) : mCore->mOptions.mSuspectWithin;
+  const Duration most = byPart ? Duration(kPartProvenAfter) : mCore->mOptions.mSuspectWithin;
   const bool proven = headAt && mCore->Now() - *headAt > most;
-  if (proven || mNext) {
-    return false; // it runs for longer than those that ended engines
+  if (proven || mHedge) {
+    return false; // it has run for longer than requests that make engines exit
   }
   mMayHaveRun = mMayHaveRun || mCurrent.mAttempt->MayHaveRun();
   LogFailedAttempt(mCurrent, "held_back", mMayHaveRun, "engines have ended under it");
@@ -155,13 +158,13 @@
   } else if (mMayHaveRun) {
     Answer(kBadGateway, "held_back", "engines end when they run it; whether it ran is unknown");
   } else {
-    RefuseHeldBack();
+    RefuseQuarantined();
   }
   return true;
 }
 
 void
-Exchange::RefuseHeldBack()
+Exchange::RefuseQuarantined()
 {
   Answer(
     kUnavailable,
--- a/src/pepperbay/relay/relay.cpp
+++ b/src/pepperbay/relay/relay.cpp
@@ -21,12 +21,12 @@
                                          asio::wait_traits<std::chrono::steady_clock>,
                                          asio::io_context::executor_type>;
 
-/// Ticks between two looks at idle connections.
+/// Ticks between two checks of idle connections.
 constexpr unsigned kSessionTicks = 10;
 
-/// A thread that does its work this much too late has none to spare for other nodes' callers.
-constexpr std::chrono::milliseconds kMostLag{ 20 };
-constexpr int kLagWeight = 8; ///< ticks that the lag is averaged over
+/// If the relay's thread lags by more than this, it has no capacity for other nodes' tunnels.
+constexpr std::chrono::milliseconds kMaxLag{ 20 };
+constexpr int kLagWeight = 8; ///< weight of the moving average of the lag, in ticks
 constexpr std::chrono::seconds kLogUnreadEvery{ 1 };
 
 class RelayImpl : public Relay
@@ -35,7 +35,7 @@
   RelayImpl(asio::io_context& aContext, RelayOptions aOptions, Dialect aDialect, RelayHooks aHooks)
     : mCore(aContext, std::move(aOptions), std::move(aDialect), std::move(aHooks))
     , mListener(aContext,
-                { [this](Socket aSocket) { Take(std::move(aSocket)); },
+                { [this](Socket aSocket) { OnAccepted(std::move(aSocket)); },
                   [this](const std::string& aDetail) {
                     mCore.Log("accept_failed", { { "detail", aDetail } });
                   } })
@@ -54,7 +54,7 @@
     return ListenForPeers();
   }
 
-  /// Carry connections for nodes that reach no engine.
+  /// Accepts tunnels of nodes that cannot reach engines directly.
   Result<void> ListenForPeers()
   {
     if (mCore.mOptions.mTunnel.empty()) {
@@ -63,15 +63,15 @@
     TunnelServerOptions options;
     options.mAddress = mCore.mOptions.mTunnel;
     options.mKey = mCore.mOptions.mTunnelKey;
-    options.mMost = mCore.mOptions.mMostCarried;
+    options.mMost = mCore.mOptions.mMaxTunnelled;
     options.mNow = mCore.mOptions.mNow;
     TunnelServerHooks hooks;
     hooks.mAddressOf = [this](const std::string& aEngine) { return AddressOf(aEngine); };
-    hooks.mWhyNot = [this] { return WhyCarriesNothing(); };
+    hooks.mWhyNot = [this] { return TunnelRefusalReason(); };
     hooks.mOnHeard = [this](const std::string& aEngine) { mCore.mConnector.OnHeard(aEngine, ""); };
     hooks.mFindSight =
       [this](const std::string& aEngine, TimePoint aSince, std::function<void(bool)> aDone) {
-        mCore.mConnector.FindSight(aEngine, aSince, std::move(aDone));
+        mCore.mConnector.CheckReachability(aEngine, aSince, std::move(aDone));
       };
     hooks.mLog = [this](const char* aEvent, const std::map<std::string, std::string>& aFields) {
       mCore.Log(aEvent, aFields);
@@ -97,12 +97,12 @@
   void SetPlan(std::shared_ptr<const TrafficPlan> aPlan) override
   {
     mCore.SetPlan(std::move(aPlan));
-    AcceptOnceKnown();
+    AcceptWhenPlanKnown();
   }
 
   void Tune(const RelayTuning& aTuning) override { mCore.Tune(aTuning); }
 
-  void OnDeskMessage(const std::string& aBytes) override { mCore.mPlaces.OnMessage(aBytes); }
+  void OnAllocatorMessage(const std::string& aBytes) override { mCore.mPlaces.OnMessage(aBytes); }
 
   std::unordered_map<std::string, int> InFlight() const override { return mCore.mBalancer.Own(); }
 
@@ -120,13 +120,13 @@
     }
     mCore.mStopping = true;
     mStopAt = mCore.Now();
-    mStopped = std::move(aDone);
+    mOnStopped = std::move(aDone);
   }
 
 private:
-  static constexpr int kBacklog = 1024; // connections that wait to be taken up
+  static constexpr int kBacklog = 1024; // listen queue, in connections
 
-  void AcceptOnceKnown()
+  void AcceptWhenPlanKnown()
   {
     const bool known = mCore.mPlan && mCore.mPlan->mComplete;
     const bool waited = mCore.Now() - mListeningSince >= mCore.mOptions.mWaitForPlan;
@@ -136,11 +136,11 @@
     }
   }
 
-  void Take(Socket aSocket)
+  void OnAccepted(Socket aSocket)
   {
     if (!mGate.Takes(mCore.mSessions.size(), mCore.Now())) {
       ++mCore.mCounters.mClosedUnread;
-      CloseNow(aSocket); // before a byte of a request is read: another node can have it
+      CloseNow(aSocket); // no byte of a request was read, so another node can take it
       return;
     }
     const auto session = std::make_shared<Session>(&mCore, std::move(aSocket));
@@ -164,14 +164,14 @@
   void OnTick()
   {
     const TimePoint now = mCore.Now();
-    if (mTickedAt != TimePoint{}) {
-      const Duration late = std::max(Duration::zero(), now - mTickedAt - mCore.mOptions.mTick);
+    if (mLastTickAt != TimePoint{}) {
+      const Duration late = std::max(Duration::zero(), now - mLastTickAt - mCore.mOptions.mTick);
       mLag = (mLag * (kLagWeight - 1) + late) / kLagWeight;
     }
-    mTickedAt = now;
+    mLastTickAt = now;
     mGate.OnTick(mLag, now);
     LogClosedUnread(now);
-    AcceptOnceKnown();
+    AcceptWhenPlanKnown();
     mListener.Tick();
     for (const auto& it : mCore.mStalls.Suspects(now)) {
       mCore.mHooks.mOnSuspect(it, mCore.mStalls.Silence(it, now));
@@ -179,12 +179,12 @@
     mCore.mPlaces.Tick();
     mCore.mRetries.Tick();
     mCore.mConnector.Tick();
-    mCore.mEndings.Tick();
+    mCore.mExitProbe.Tick();
     mSilence.Tick();
     if (mTunnels) {
       mTunnels->Tick();
     }
-    // Copies, since an exchange that ends leaves the set.
+    // Copies, since a finished exchange removes itself from the set.
     const std::vector<std::shared_ptr<Exchange>> exchanges(mCore.mExchanges.begin(),
                                                            mCore.mExchanges.end());
     for (const auto& it : exchanges) {
@@ -203,7 +203,7 @@
     }
   }
 
-  /// One line for what was not taken up in the last second.
+  /// Logs the connections that were closed unread, at most once a second.
   void LogClosedUnread(TimePoint aNow)
   {
     const std::uint64_t n = mCore.mCounters.mClosedUnread - mLoggedUnread;
@@ -222,61 +222,61 @@
   void TickStop(TimePoint aNow)
   {
     const Duration since = aNow - mStopAt;
-    if (!mStopped || since < mCore.mOptions.mStopGrace) {
+    if (!mOnStopped || since < mCore.mOptions.mStopGrace) {
       return;
     }
     if (mListener.IsOpen()) {
-      // A balancer that has no better node would send connections until the end, and what comes
-      // late could not be answered whole before the process is killed.
+      // A load balancer without a better node would send connections until the end, and late
+      // requests could not be completed before the process is killed.
       mListener.Close();
-      mCore.mTakesRequests = false;
+      mCore.mAcceptsRequests = false;
     }
     const std::vector<std::shared_ptr<Session>> sessions(mCore.mSessions.begin(),
                                                          mCore.mSessions.end());
     for (const auto& it : sessions) {
       it->CloseWhenIdle();
     }
-    const bool last = since >= mCore.mOptions.mTuning.mStopMost;
+    const bool last = since >= mCore.mOptions.mTuning.mMaxStopTime;
     if (last) {
       const std::vector<std::shared_ptr<Exchange>> exchanges(mCore.mExchanges.begin(),
                                                              mCore.mExchanges.end());
       for (const auto& it : exchanges) {
-        it->GiveUp();
+        it->Abort();
       }
     }
     const bool carries = mCore.mCounters.mTunnels.mOpen > 0;
     if ((mCore.mSessions.empty() && !carries) || last) {
-      std::exchange(mStopped, nullptr)();
+      std::exchange(mOnStopped, nullptr)();
     }
   }
 
-  /// @return why this node carries nothing more for others; empty: it does.
-  std::string WhyCarriesNothing() const
+  /// @return why this node accepts no more tunnels of other nodes; empty: it accepts them.
+  std::string TunnelRefusalReason() const
   {
     if (mCore.mStopping) {
       return "stopping";
     }
-    if (mCore.mConnector.Avoids()) {
-      return "unreached"; // a second hop could go in circles
+    if (mCore.mConnector.IsDirectPathDown()) {
+      return "unreached"; // a second hop could form a loop
     }
-    return mLag > kMostLag ? "late" : "";
+    return mLag > kMaxLag ? "late" : "";
   }
 
   RelayCore mCore;
   ConnectionGate mGate{ mCore.mOptions.mGate };
-  std::uint64_t mLoggedUnread = 0; ///< of mClosedUnread
+  std::uint64_t mLoggedUnread = 0; ///< part of mClosedUnread that was logged
   TimePoint mLoggedUnreadAt{};
   SilenceWatch mSilence{ &mCore };
   std::unique_ptr<TunnelServer> mTunnels;
-  Duration mLag{ 0 }; ///< how late this thread is, averaged over some ticks
-  TimePoint mTickedAt{};
+  Duration mLag{ 0 }; ///< lag of this thread, moving average
+  TimePoint mLastTickAt{};
   Listener mListener;
   Timer mTimer;
   unsigned mTicks = 0;
   TimePoint mListeningSince{};
   bool mAccepting = false;
   TimePoint mStopAt{};
-  std::function<void()> mStopped;
+  std::function<void()> mOnStopped;
 };
 
 } // namespace
--- a/src/pepperbay/relay/relay_core.cpp
+++ b/src/pepperbay/relay/relay_core.cpp
@@ -12,8 +12,8 @@
 
 namespace {
 
-/// A version that reaches the traffic thread later than this gets a line.
-constexpr std::chrono::milliseconds kSlowToForce{ 250 };
+/// A configuration version that takes longer than this to reach the traffic thread is logged.
+constexpr std::chrono::milliseconds kSlowConfiguration{ 250 };
 
 BalancerOptions
 BalancerOptionsOf(const RelayOptions& aOptions)
@@ -31,7 +31,7 @@
   options.mNode = aOptions.mNode;
   options.mIncarnation = aOptions.mIncarnation;
   options.mDataCentre = aOptions.mDataCentre;
-  options.mAddress = aOptions.mDeskAddress;
+  options.mAddress = aOptions.mAllocatorAddress;
   options.mRetryShare = aOptions.mTuning.mRetryShare;
   return options;
 }
@@ -51,7 +51,7 @@
   RetryAgentOptions options;
   options.mNode = aOptions.mNode;
   options.mIncarnation = aOptions.mIncarnation;
-  options.mAddress = aOptions.mDeskAddress;
+  options.mAddress = aOptions.mAllocatorAddress;
   options.mLimits = RetryLimitsOf(aOptions.mTuning);
   return options;
 }
@@ -79,30 +79,30 @@
   , mBalancer(BalancerOptionsOf(mOptions))
   , mPlaces(PlaceOptionsOf(mOptions),
             { mOptions.mNow,
-              mHooks.mSendToDesk,
+              mHooks.mSendToAllocator,
               [this](const LimitNews& aNews) { OnLimit(aNews); },
               [this](const proto::PlaceMessage& aMessage) { mRetries.OnMessage(aMessage); } },
             &mBalancer)
-  , mRetries(RetryOptionsOf(mOptions), { mOptions.mNow, mHooks.mSendToDesk })
+  , mRetries(RetryOptionsOf(mOptions), { mOptions.mNow, mHooks.mSendToAllocator })
   , mConnections(ConnectionPoolOptions{}, mOptions.mNow)
   , mConnector(mContext,
                ConnectorOptionsOf(mOptions),
                { mOptions.mNow,
-                 [this](bool aAvoids) { OnAvoid(aAvoids); },
-                 [this] { return EnginesToTry(); },
-                 [this] { ++mCounters.mCarriedByPeers; },
+                 [this](bool aDown) { OnDirectPathChange(aDown); },
+                 [this] { return EnginesToProbe(); },
+                 [this] { ++mCounters.mTunnelledByPeers; },
                  [this](const AttemptTarget& aEngine, EngineSocket aSocket) {
                    mConnections.Put(aEngine.mEngine, std::move(aSocket), std::nullopt, 1);
                  } })
-  , mEndings(
+  , mExitProbe(
       &mConnector,
       mOptions.mNow,
       &mConnections,
-      [this](const AttemptTarget& aEngine, const std::vector<BrokenOff>& aRequests) {
-        OnEngineEnded(aEngine, aRequests);
+      [this](const AttemptTarget& aEngine, const std::vector<InterruptedRequest>& aRequests) {
+        OnEngineExited(aEngine, aRequests);
       },
-      [this](const AttemptTarget& aEngine, const std::vector<BrokenOff>& aRequests) {
-        OnBrokenOffAlive(aEngine, aRequests);
+      [this](const AttemptTarget& aEngine, const std::vector<InterruptedRequest>& aRequests) {
+        OnInterruptedAlive(aEngine, aRequests);
       })
 {
 }
@@ -111,18 +111,18 @@
 RelayCore::SetPlan(std::shared_ptr<const TrafficPlan> aPlan)
 {
   if (mPlan) {
-    ForgetReplacedStarts(mPlan->mStarts, aPlan->mStarts);
+    ForgetStaleIncarnations(mPlan->mStarts, aPlan->mStarts);
   }
   NoteConfiguration(*aPlan);
   const bool suspects = aPlan->mSuspects && (!mPlan || aPlan->mSuspects != mPlan->mSuspects);
   mPlan = std::move(aPlan);
   if (suspects) {
-    ClearThoseThatRan(*mPlan->mSuspects);
+    ClearCompletedSuspects(*mPlan->mSuspects);
   }
   mPlaces.SetPlan(mPlan);
   if (mConnector.SetPeers(mPlan->mProxyPeers)) {
-    // One that stops waits until nothing is carried any more.
-    mConnections.ForgetCarriedBy(
+    // A peer that is stopping waits until its tunnels are closed, so idle ones must not be kept.
+    mConnections.ForgetByPeer(
       [this](const std::string& aPeer) { return !aPeer.empty() && !mConnector.IsPeer(aPeer); });
   }
   const RetryKeeperPlan& keeper = mPlan->mRetryKeeper;
@@ -142,7 +142,7 @@
   mCounters.mConfigurationVersion = version;
   const Duration took = Now() - aPlan.mConfigurationTaken;
   mCounters.mInForce.Observe(took);
-  if (took > kSlowToForce) {
+  if (took > kSlowConfiguration) {
     Log("configuration_late",
         { { "version", std::to_string(version) },
           { "after_ms", std::to_string(ToMs(took).count()) } });
@@ -150,7 +150,7 @@
 }
 
 void
-RelayCore::ForgetReplacedStarts(const EngineStarts& aBefore, const EngineStarts& aNow)
+RelayCore::ForgetStaleIncarnations(const EngineStarts& aBefore, const EngineStarts& aNow)
 {
   for (const auto& [engine, born] : aNow) {
     const auto known = aBefore.find(engine);
@@ -185,49 +185,51 @@
 }
 
 void
-RelayCore::OnRanWhole(const RequestKey& aKey)
+RelayCore::OnRequestCompleted(const RequestKey& aKey)
 {
   mRuns.OnRun(aKey, Now());
-  TellRan(aKey);
+  ReportCompleted(aKey);
 }
 
 void
-RelayCore::OnPartsRan(const std::vector<PromptPart>& aParts)
+RelayCore::OnPartsCompleted(const std::vector<PromptPart>& aParts)
 {
   for (const auto& it : aParts) {
     mPartRuns.OnRun(it.mKey, Now());
-    TellRan(it.mKey);
+    ReportCompleted(it.mKey);
   }
 }
 
 void
-RelayCore::TellRan(const RequestKey& aKey)
+RelayCore::ReportCompleted(const RequestKey& aKey)
 {
-  if (SuspectOf(aKey).mScore > 0 && mHooks.mOnRanWhole) {
-    mHooks.mOnRanWhole(aKey);
+  if (SuspectOf(aKey).mScore > 0 && mHooks.mOnSuspectCompleted) {
+    mHooks.mOnSuspectCompleted(aKey);
   }
 }
 
 void
-RelayCore::ClearThoseThatRan(const SuspectRequests& aSuspects)
+RelayCore::ClearCompletedSuspects(const SuspectRequests& aSuspects)
 {
   for (const auto& [key, suspect] : aSuspects) {
     const bool ran = mRuns.HasRun(key, Now()) || mPartRuns.HasRun(key, Now());
-    if (ran && mHooks.mOnRanWhole) {
-      mHooks.mOnRanWhole(key);
+    if (ran && mHooks.mOnSuspectCompleted) {
+      mHooks.mOnSuspectCompleted(key);
     }
   }
 }
 
 void
-RelayCore::OnEngineEnded(const AttemptTarget& aEngine, const std::vector<BrokenOff>& aRequests)
+RelayCore::OnEngineExited(const AttemptTarget& aEngine,
+                          const std::vector<InterruptedRequest>& aRequests)
 {
-  ++mCounters.mEnginesEnded;
+  ++mCounters.mEnginesExited;
   const std::uint64_t start = EngineStartHash(aEngine.mEngine, aEngine.mBorn);
-  const bool head = std::any_of(
-    aRequests.begin(), aRequests.end(), [](const BrokenOff& aIt) { return aIt.mOfReplica; });
+  const bool head = std::any_of(aRequests.begin(),
+                                aRequests.end(),
+                                [](const InterruptedRequest& aIt) { return aIt.mOfReplica; });
   if (head) {
-    OnHeadGone(aEngine.mEngine, aRequests.front().mAt);
+    OnHeadNotListening(aEngine.mEngine, aRequests.front().mAt);
   }
   for (const auto& it : aRequests) {
     const bool ran = mRuns.HasRun(it.mKey, Now());
@@ -240,35 +242,36 @@
           { "ran_before", ran ? "true" : "false" },
           { "age_ms", std::to_string(ToMs(Now() - it.mAt).count()) } });
     const EngineEnd end{ start, it.mSuspicion, it.mAt };
-    ChargeEnd(mRuns, it.mKey, end);
+    ChargeExit(mRuns, it.mKey, end);
     for (const auto& part : it.mParts) {
-      ChargeEnd(mPartRuns, part.mKey, end);
+      ChargeExit(mPartRuns, part.mKey, end);
     }
   }
 }
 
 void
-RelayCore::ChargeEnd(const RecentRuns& aRuns, const RequestKey& aKey, const EngineEnd& aEnd)
+RelayCore::ChargeExit(const RecentRuns& aRuns, const RequestKey& aKey, const EngineEnd& aEnd)
 {
-  if (!aRuns.HasRun(aKey, Now()) && mHooks.mOnEngineEnded) {
-    mHooks.mOnEngineEnded(aKey, aEnd);
+  if (!aRuns.HasRun(aKey, Now()) && mHooks.mOnEngineExited) {
+    mHooks.mOnEngineExited(aKey, aEnd);
   }
 }
 
 void
-RelayCore::OnBrokenOffAlive(const AttemptTarget& aEngine, const std::vector<BrokenOff>& aRequests)
+RelayCore::OnInterruptedAlive(const AttemptTarget& aEngine,
+                              const std::vector<InterruptedRequest>& aRequests)
 {
-  const bool once =
-    std::any_of(aRequests.begin(), aRequests.end(), [](const auto& aIt) { return aIt.mOnce; });
+  const bool once = std::any_of(
+    aRequests.begin(), aRequests.end(), [](const auto& aIt) { return aIt.mNonRepeatable; });
   if (once) {
     mBalancer.Failures().OnFailed(aEngine.mEngine, Now());
   }
 }
 
 void
-RelayCore::OnHeadGone(const std::string& aHead, TimePoint aAsOf)
+RelayCore::OnHeadNotListening(const std::string& aHead, TimePoint aAsOf)
 {
-  if (mGoneHeads.OnRefused(aHead, aAsOf, Now()) && mHooks.mOnRefused) {
+  if (mUnreachableHeads.OnRefused(aHead, aAsOf, Now()) && mHooks.mOnRefused) {
     mHooks.mOnRefused(aHead);
   }
 }
@@ -291,23 +294,24 @@
 }
 
 void
-RelayCore::OnAvoid(bool aAvoids)
+RelayCore::OnDirectPathChange(bool aDown)
 {
   std::string peers;
   for (const auto& it : mPlan && mPlan->mProxyPeers ? *mPlan->mProxyPeers : ProxyPeers{}) {
     peers += (peers.empty() ? "" : ",") + it.mNode;
   }
-  Log(aAvoids ? "engines_unreached" : "engines_reached",
+  Log(aDown ? "engines_unreached" : "engines_reached",
       { { "peers", peers },
         { "heard_any_ms_ago", std::to_string(ToMs(Now() - mConnector.HeardAt()).count()) },
         { "for_ms",
-          aAvoids ? "" : std::to_string(ToMs(Now() - mConnector.AvoidsSince()).count()) } });
-  if (aAvoids) {
-    // They may be cut and show nothing; a request that is sent over one would be lost.
-    mConnections.ForgetCarriedBy([](const std::string& aPeer) { return aPeer.empty(); });
+          aDown ? "" : std::to_string(ToMs(Now() - mConnector.DirectPathDownSince()).count()) } });
+  if (aDown) {
+    // Direct connections may be cut by the partition without showing it; a request that is sent
+    // over one would be lost.
+    mConnections.ForgetByPeer([](const std::string& aPeer) { return aPeer.empty(); });
   }
-  if (mHooks.mOnReach) {
-    mHooks.mOnReach(!aAvoids);
+  if (mHooks.mOnReachability) {
+    mHooks.mOnReachability(!aDown);
   }
 }
 
@@ -321,7 +325,7 @@
 }
 
 std::vector<AttemptTarget>
-RelayCore::EnginesToTry() const
+RelayCore::EnginesToProbe() const
 {
   std::vector<AttemptTarget> engines;
   if (!mPlan) {
--- a/src/pepperbay/relay/relay_fixture.hpp
+++ b/src/pepperbay/relay/relay_fixture.hpp
@@ -33,21 +33,21 @@
     const auto value = aFields[aName];
     return std::string(value.data(), value.size());
   };
-  dialect.mReadRequest = [text](const HeaderFields& aFields) -> Result<RequestFacts> {
-    RequestFacts facts;
-    facts.mId = text(aFields, "Req");
-    facts.mModel = text(aFields, "Model");
-    facts.mKey = text(aFields, "Key");
+  dialect.mReadRequest = [text](const HeaderFields& aFields) -> Result<RequestMetadata> {
+    RequestMetadata metadata;
+    metadata.mId = text(aFields, "Req");
+    metadata.mModel = text(aFields, "Model");
+    metadata.mKey = text(aFields, "Key");
     if (const std::string part = text(aFields, "Part"); !part.empty()) {
-      facts.mPromptParts = { part };
+      metadata.mPromptParts = { part };
     }
     if (const std::string left = text(aFields, "Left-Ms"); !left.empty()) {
-      facts.mDeadline = std::chrono::milliseconds(std::stoi(left));
+      metadata.mDeadline = std::chrono::milliseconds(std::stoi(left));
     }
     if (!text(aFields, "Bad").empty()) {
       return Error{ Errc::kInvalid, "request.decode", "caller", "bad" };
     }
-    return facts;
+    return metadata;
   };
   dialect.mStampRequest = [](const RequestStamp& aStamp, HeaderFields* aFields) {
     aFields->erase("Key");
@@ -59,16 +59,16 @@
     }
   };
   dialect.mReadAnswer = [text](int /*aStatus*/, const HeaderFields& aFields) {
-    AnswerFacts facts;
-    facts.mSealed = !text(aFields, "Seal").empty();
-    facts.mNotRun = !text(aFields, "Not-Run").empty();
-    facts.mRequestId = text(aFields, "Req");
+    AnswerMetadata metadata;
+    metadata.mSealed = !text(aFields, "Seal").empty();
+    metadata.mNotRun = !text(aFields, "Not-Run").empty();
+    metadata.mRequestId = text(aFields, "Req");
     const std::string limit = text(aFields, "Limit");
-    facts.mBadLimit = limit == "bad";
-    if (!limit.empty() && !facts.mBadLimit) {
-      facts.mLimit = std::stod(limit);
+    metadata.mBadLimit = limit == "bad";
+    if (!limit.empty() && !metadata.mBadLimit) {
+      metadata.mLimit = std::stod(limit);
     }
-    return facts;
+    return metadata;
   };
   return dialect;
 }
@@ -96,11 +96,11 @@
   void Serve(const std::vector<RawEngine*>& aEngines, RelayOptions aOptions = {})
   {
     aOptions.mCallers = FreeAddress();
-    aOptions.mLeaveSilent = seconds(20);
+    aOptions.mMaxSilence = seconds(20);
     mAddress = aOptions.mCallers;
     RelayHooks hooks;
     hooks.mOnSuspect = [this](const std::string&, Duration) { ++mSuspects; };
-    hooks.mOnEngineEnded = [this](const RequestKey& aRequest, const EngineEnd& aEnd) {
+    hooks.mOnEngineExited = [this](const RequestKey& aRequest, const EngineEnd& aEnd) {
       const std::lock_guard<std::mutex> lock(mEndsMutex);
       mEnds.push_back({ aRequest, aEnd });
       mEndsChanged.notify_all();
@@ -111,9 +111,9 @@
       mLines.push_back({ aEvent, aFields });
       mEndsChanged.notify_all();
     };
-    hooks.mOnReach = [this](bool aReaches) { mReaches = aReaches; };
-    hooks.mOnRanWhole = [this](const RequestKey&) { ++mRanWhole; };
-    hooks.mSendToDesk = [this](const std::string&, const std::string& aBytes) {
+    hooks.mOnReachability = [this](bool aReaches) { mReaches = aReaches; };
+    hooks.mOnSuspectCompleted = [this](const RequestKey&) { ++mRanWhole; };
+    hooks.mSendToAllocator = [this](const std::string&, const std::string& aBytes) {
       const std::lock_guard<std::mutex> lock(mEndsMutex);
       mSentToDesks.push_back(aBytes);
     };
--- a/src/pepperbay/relay/silence_watch.cpp
+++ b/src/pepperbay/relay/silence_watch.cpp
@@ -10,23 +10,26 @@
 SilenceWatch::Tick()
 {
   EngineConnector& connector = mCore->mConnector;
-  if (!connector.HasPeers() || connector.Avoids()) {
+  if (!connector.HasPeers() || connector.IsDirectPathDown()) {
     return;
   }
   const TimePoint now = mCore->Now();
-  const bool all = now - connector.HeardAt() >= kAllSilent;
+  const bool all = now - connector.HeardAt() >= kAllSilence;
   for (const auto& it : mCore->mExchanges) {
-    const Sending* sending = it->DirectSending();
-    if (sending == nullptr) {
+    const EngineDispatch* dispatch = it->DirectDispatch();
+    if (dispatch == nullptr) {
       continue;
     }
-    const Duration bound = all ? kAllSilent : sending->mWriting ? kWritingSilent : kReadingSilent;
-    const TimePoint last = std::max(sending->mSentAt, connector.HeardAt(sending->mTarget.mEngine));
+    const Duration bound = all                  ? kAllSilence
+                           : dispatch->mWriting ? kStreamingSilence
+                                                : kPromptSilence;
+    const TimePoint last =
+      std::max(dispatch->mSentAt, connector.HeardAt(dispatch->mTarget.mEngine));
     if (now - last >= bound) {
-      connector.Look(sending->mTarget);
+      connector.ProbeIfDue(dispatch->mTarget);
     }
     if (all) {
-      return; // one path tells of all
+      return; // one path is enough to tell whether this node is partitioned
     }
   }
 }
