--- a/cmake/Layers.cmake
+++ b/cmake/Layers.cmake
@@ -67,7 +67,7 @@
 # A node before a shared pool of engines, and the users' platform, which only translates.
 pepperbay_library(coordinator SOURCES coordinator.cpp coordinator_bounds.cpp coordinator_dump.cpp coordinator_peers.cpp
                                       coordinator_pools.cpp coordinator_registrations.cpp
-                                      coordinator_reach.cpp engine_calls.cpp engine_doubts.cpp freshness_book.cpp
+                                      coordinator_reach.cpp engine_calls.cpp engine_suspicions.cpp freshness_book.cpp
                                       coordinator_logs.cpp coordinator_rate_leases.cpp log_reads.cpp news_book.cpp
                                       node_tree.cpp peer_book.cpp plan_builder.cpp
                                       rate_leases.cpp sight_looks.cpp suspect_keeper.cpp
@@ -78,7 +78,7 @@
                         coordinator_reach_test.cpp coordinator_pauses_test.cpp coordinator_pauses_beside_test.cpp
                         coordinator_ended_test.cpp
                         coordinator_many_engines_test.cpp coordinator_limits_test.cpp
-                        engine_calls_test.cpp engine_doubts_test.cpp log_reads_test.cpp
+                        engine_calls_test.cpp engine_suspicions_test.cpp log_reads_test.cpp
                         rate_leases_test.cpp round_pace_test.cpp sight_looks_test.cpp
                   USES journal lease membership placement quarantine reach routing
                   PACKAGES nlohmann_json::nlohmann_json) # pure
--- a/include/pepperbay/coordinator/coordinator.hpp
+++ b/include/pepperbay/coordinator/coordinator.hpp
@@ -132,7 +132,7 @@
   /// Times that an engine was found not to answer, by whose words; see LostBy.
   std::map<std::string, std::uint64_t> mLostEngines;
   /// Times that one of them had ended, by the evidence; see LostEvidence.
-  std::map<std::string, std::uint64_t> mEndedEngines;
+  std::map<std::string, std::uint64_t> mExitedEngines;
   std::uint64_t mPauses = 0;    ///< lost engines that answered before they counted as ended
   std::uint64_t mUndecided = 0; ///< times that no node with sight had a word on a silent engine
   std::uint64_t mBeats = 0;
--- a/scripts/mutants/late.sh
+++ b/scripts/mutants/late.sh
@@ -20,8 +20,8 @@
   's/mWindow = std::max\(mWindow \/ 2, mOptions.mLeast\);//' coordinator_engine_calls_test '*Fewer*'
 mutant "a late end is the engine's silence" $c/engine_calls.cpp \
   's/const bool unread = .*/const bool unread = false;/' coordinator_engine_calls_test '*ToldLate*'
-mutant "an unheard question makes an engine lost" $c/engine_doubts.cpp \
-  's/if \(!answered \&\& unheard\)/if (false)/' coordinator_engine_doubts_test '*CouldNotBeHeard*'
+mutant "an unheard question makes an engine lost" $c/engine_suspicions.cpp \
+  's/if \(!answered \&\& unheard\)/if (false)/' coordinator_engine_suspicions_test '*CouldNotBeHeard*'
 mutant "an unread order counts as unanswered" $s/placement/group_planner_orders.cpp \
   's/aAnswer == OrderAnswer::kNone \&\& \+\+pending/++pending/' \
   placement_group_planner_test '*CouldNotBeHeard*'
--- a/scripts/mutants/reach.sh
+++ b/scripts/mutants/reach.sh
@@ -1,7 +1,7 @@
 # Ways to engines: through peers, and what is concluded from silence; read by scripts/mutants.sh.
 # shellcheck shell=bash disable=SC2154
 reach=relay_relay_reach_test
-doubts=coordinator_engine_doubts_test
+doubts=coordinator_engine_suspicions_test
 tunnel=tunnel_tunnel_test
 mutant "a node knows one way to an engine" $s/relay/connecting.cpp \
   's/  if \(mAsked.size\(\) >= mConnector->mOptions.mMostPeers\)/  if (true)/' $reach '*WherePeersAreCut*:*AConnectionThatLivesOn*'
@@ -11,14 +11,14 @@
   's/if \(\+\+mGood >= .*/if (++mGood > 0) {/' reach_way_book_test '*EachEngineThatPeersHaveReached*'
 mutant "a few faulty paths are a cut" $s/reach/way_book.cpp \
   's/\(hearsNothing \|\| mostly\)/true/' reach_way_book_test '*AQuarterOfThePaths*'
-mutant "one place's silence is enough" $s/coordinator/engine_doubts.cpp \
-  's/places < kPlaces \&\& !last/false/' $doubts '*NeedsTheWordOfTwoPeers*'
-mutant "the silence of a blind node counts" $s/coordinator/engine_doubts.cpp \
-  's/question.mUnansweredHere \&\& question.mSees/question.mUnansweredHere/' $doubts '*ABlindNodeNeeds*:*PeersOfAnOlderVersion*'
-mutant "a peer that was not heard counts" $s/coordinator/engine_doubts.cpp \
-  's/\} else if \(word\) \{/} else {/' $doubts '*ThatWasNotHeard*'
-mutant "a blind holder asks itself" $s/coordinator/engine_doubts.cpp \
-  's/!mHooks.mIsBlind\(\) \|\|/true ||/' $doubts '*ThatKnowsThatItIsBlind*'
+mutant "one place's silence is enough" $s/coordinator/engine_suspicions.cpp \
+  's/vantagePoints < kRequiredVantagePoints \&\& !last/false/' $doubts '*NeedsTheWordOfTwoPeers*'
+mutant "the silence of a blind node counts" $s/coordinator/engine_suspicions.cpp \
+  's/investigation.mOwnProbeFailed \&\& investigation.mSees/investigation.mOwnProbeFailed/' $doubts '*ABlindNodeNeeds*:*PeersOfAnOlderVersion*'
+mutant "a peer that was not heard counts" $s/coordinator/engine_suspicions.cpp \
+  's/\} else if \(conclusive\) \{/} else {/' $doubts '*ThatWasNotHeard*'
+mutant "a blind holder asks itself" $s/coordinator/engine_suspicions.cpp \
+  's/!mHooks.mIsUnreached\(\) \|\|/true ||/' $doubts '*ThatKnowsThatItIsBlind*'
 mutant "what a cut breaks off is the engine's failure" $s/relay/ending_probe.cpp \
   's/if \(aConnection.mSocket->mPeer.empty\(\)\)/if (true)/' $reach '*WhatACutBreaksOff*'
 mutant "anybody is let in" $s/tunnel/carried_connection.cpp \
@@ -59,8 +59,8 @@
   's/      !fails \&\& it.mDataCentre/      it.mDataCentre/' reach_proxy_choice_test '*PeersAside*'
 mutant "peers that have failed take no part once three were asked" $s/relay/connecting.cpp \
   's/fails \&\& mFailingAsked >= /fails \&\& mAsked.size() >= /' relay_connector_peers_test '*OneThatFailed*'
-mutant "what was heard before a failure is sight" $s/coordinator/engine_doubts.cpp \
-  's/question.mUnansweredHere \&\& question.mSees/question.mUnansweredHere/' coordinator_coordinator_reach_test '*OneOther*'
+mutant "what was heard before a failure is sight" $s/coordinator/engine_suspicions.cpp \
+  's/investigation.mOwnProbeFailed \&\& investigation.mSees/investigation.mOwnProbeFailed/' coordinator_coordinator_reach_test '*OneOther*'
 mutant "a kept connection is sight" $s/coordinator/coordinator_reach.cpp \
   's/options.mOwnConnection = true;/options.mOwnConnection = false;/' coordinator_coordinator_reach_test '*OneOther*'
 mutant "a failure shares the look that was begun before" $s/coordinator/sight_looks.cpp \
--- a/scripts/mutants/shared_pool.sh
+++ b/scripts/mutants/shared_pool.sh
@@ -98,7 +98,7 @@
 mutant "any node gives orders" $s/coordinator/coordinator_pools.cpp \
   's/return mLease.Held\(\) \|\| .*/return true;/' coordinator_coordinator_test '*OneNodeOrders*'
 mutant "a silent member is not asked" $s/coordinator/coordinator_pools.cpp \
-  's/mDoubts.Ask\(\*engine\);/;/' coordinator_coordinator_test '*TakesOverAndRepairs*'
+  's/mEngineSuspicions.Ask\(\*engine\);/;/' coordinator_coordinator_test '*TakesOverAndRepairs*'
 mutant "a silent delegate is followed" $s/coordinator/node_tree.cpp \
   's/standing != Standing::kSilent && //; s/self \|\| StandingOf\(it, aPeers, aNow\) == Standing::kHeard/true/' \
   coordinator_coordinator_tree_test '*AnotherDelegate*'
--- a/src/pepperbay/coordinator/coordinator.cpp
+++ b/src/pepperbay/coordinator/coordinator.cpp
@@ -43,13 +43,13 @@
   return options;
 }
 
-EngineDoubtsOptions
-DoubtsOptionsOf(const CoordinatorOptions& aOptions)
+EngineSuspicionsOptions
+SuspicionsOptionsOf(const CoordinatorOptions& aOptions)
 {
-  EngineDoubtsOptions options;
+  EngineSuspicionsOptions options;
   options.mAskTimeout = aOptions.mAskTimeout;
   options.mAskAgain = aOptions.mAskAgain;
-  options.mPauseMost = aOptions.mPlanner.mPauseMost;
+  options.mMaxPause = aOptions.mPlanner.mPauseMost;
   options.mAskState = aOptions.mAskState;
   return options;
 }
@@ -145,7 +145,7 @@
   , mCalls({}, { mHooks.mNow, mHooks.mOrder, mHooks.mAsk })
   , mProxies(ProxyChoiceOptionsOf(mOptions.mNode, mOptions.mDataCentre))
   , mSightLooks(LooksHooks())
-  , mDoubts(DoubtsOptionsOf(mOptions), DoubtsHooks())
+  , mEngineSuspicions(SuspicionsOptionsOf(mOptions), SuspicionsHooks())
   , mPeers(mOptions.mNode, mOptions.mPeerSilence)
   , mFreshness(mOptions.mNode, mOptions.mIncarnation)
   , mSuspects(SuspectOptionsOf(mOptions),
@@ -274,7 +274,7 @@
   UpdateProxies();
   if (MayOrder()) {
     ProbeWays();
-    mDoubts.Tick([this](const std::string& aEngine) { return FindEngine(aEngine); });
+    mEngineSuspicions.Tick([this](const std::string& aEngine) { return FindEngine(aEngine); });
   }
   PlanPools();
   mSuspects.Tick(mLease.Held());
@@ -367,7 +367,7 @@
   sources.mRoutes = mRoutes;
   sources.mEngines = &mDirectory.Engines();
   sources.mNews = now - mNews.AsOf() < kNewsLife ? &mNews.Replicas() : &kNoNews;
-  sources.mLost = [this](const std::string& aEngine) { return mDoubts.IsLost(aEngine); };
+  sources.mLost = [this](const std::string& aEngine) { return mEngineSuspicions.IsLost(aEngine); };
   auto plan = BuildPlan(sources);
   FillPlan(plan.get());
   mPlan = std::move(plan);
@@ -496,8 +496,8 @@
 const CoordinatorCounters&
 Coordinator::Counters() const
 {
-  mImpl->mCounters.mAsks = mImpl->mDoubts.Asked();
-  mImpl->mCounters.mUndecided = mImpl->mDoubts.Undecided();
+  mImpl->mCounters.mAsks = mImpl->mEngineSuspicions.Asked();
+  mImpl->mCounters.mUndecided = mImpl->mEngineSuspicions.Undecided();
   mImpl->mCounters.mSuspectRequests = mImpl->mSuspects.Book().Size();
   mImpl->mCounters.mHeldRequests = mImpl->HeldRequests();
   mImpl->mCounters.mBadSuspects = mImpl->mSuspects.BadRecords();
--- a/src/pepperbay/coordinator/coordinator_dump.cpp
+++ b/src/pepperbay/coordinator/coordinator_dump.cpp
@@ -51,7 +51,7 @@
         { "configuration", it.mBeat.config_version() } });
   }
   Json lost = Json::array();
-  for (const auto& [engine, since] : mDoubts.Lost()) {
+  for (const auto& [engine, since] : mEngineSuspicions.Lost()) {
     lost.push_back(engine);
   }
   Json logs = Json::object();
@@ -122,7 +122,7 @@
                       { "engines_reached",
                         { { "directly", !IsUnreached() },
                           { "through", proxies },
-                          { "undecided", mDoubts.Undecided() } } },
+                          { "undecided", mEngineSuspicions.Undecided() } } },
                       { "lost_engines", lost },
                       { "limits", limits },
                       { "counts_for", counts },
--- a/src/pepperbay/coordinator/coordinator_impl.hpp
+++ b/src/pepperbay/coordinator/coordinator_impl.hpp
@@ -3,7 +3,7 @@
 #pragma once
 
 #include "engine_calls.hpp"
-#include "engine_doubts.hpp"
+#include "engine_suspicions.hpp"
 #include "freshness_book.hpp"
 #include "log_reads.hpp"
 #include "look_pause.hpp"
@@ -124,7 +124,7 @@
   void OnEngineChange(const EngineRecord& aEngine, const EngineVerdict& aVerdict);
   void LogVerdict(const EngineRecord& aEngine, const EngineVerdict& aVerdict);
   // Ways to engines; see coordinator_reach.cpp.
-  EngineDoubtsHooks DoubtsHooks();
+  EngineSuspicionsHooks SuspicionsHooks();
   void SetReach(bool aReaches);
   /// @return whether this node's own connections are known not to reach the engines.
   bool IsUnreached() const { return mTrafficUnreached || mWays.Avoids(); }
@@ -226,7 +226,7 @@
   bool mToldUnreached = false;
   SightLooks mSightLooks;
   std::size_t mLooks = 0;
-  EngineDoubts mDoubts;
+  EngineSuspicions mEngineSuspicions;
   PeerBook mPeers;
   FreshnessBook mFreshness;
   SuspectKeeper mSuspects;
--- a/src/pepperbay/coordinator/coordinator_pools.cpp
+++ b/src/pepperbay/coordinator/coordinator_pools.cpp
@@ -61,8 +61,8 @@
   view.mFence = mLease.Fence();
   view.mMostOrders = mCalls.RoomForOrders();
   view.mTraffic = mTraffic;
-  view.mDead = [this](const std::string& aEngine) { return mDoubts.IsLost(aEngine); };
-  view.mEnded = [this](const std::string& aEngine) { return mDoubts.HasEnded(aEngine); };
+  view.mDead = [this](const std::string& aEngine) { return mEngineSuspicions.IsLost(aEngine); };
+  view.mEnded = [this](const std::string& aEngine) { return mEngineSuspicions.HasExited(aEngine); };
   // Most rounds ask for none, some for every head of the pool.
   std::optional<std::unordered_map<std::string, int>> others;
   view.mInFlight = [this, &others](const std::string& aHead) {
@@ -200,15 +200,15 @@
 void
 Coordinator::Impl::AskAsPlanned(const GroupPlanner& aPlanner)
 {
-  using IfSilent = EngineDoubts::IfSilent;
+  using IfSilent = EngineSuspicions::IfSilent;
   for (const auto& [id, engine] : aPlanner.Wanted()) {
     const bool lapsed = mDirectory.Find(id) == nullptr;
-    mDoubts.AskOnce(engine, lapsed ? IfSilent::kIsSuspect : IfSilent::kSaysNothing);
+    mEngineSuspicions.AskOnce(engine, lapsed ? IfSilent::kSuspect : IfSilent::kIgnore);
   }
   for (const auto& id : aPlanner.Unanswering()) {
     const EngineRecord* engine = mDirectory.Find(id);
-    if (engine != nullptr && !mDoubts.IsLost(id)) {
-      mDoubts.AskOnce(*engine, IfSilent::kIsSuspect);
+    if (engine != nullptr && !mEngineSuspicions.IsLost(id)) {
+      mEngineSuspicions.AskOnce(*engine, IfSilent::kSuspect);
     }
   }
 }
@@ -269,7 +269,7 @@
       }
       for (const auto& it : replica.mMembers) {
         if (const EngineRecord* engine = FindEngine(it)) {
-          mDoubts.Ask(*engine, aSilentSince);
+          mEngineSuspicions.Ask(*engine, aSilentSince);
         }
       }
     }
@@ -295,7 +295,7 @@
 Coordinator::Impl::LogVerdict(const EngineRecord& aEngine, const EngineVerdict& aVerdict)
 {
   const auto ms = [](Duration aDuration) { return std::to_string(ToMs(aDuration).count()); };
-  const std::string ended = aVerdict.mEnded ? "true" : "false";
+  const std::string ended = aVerdict.mExited ? "true" : "false";
   if (!aVerdict.mLostBy) {
     mHooks.mLog("engine_back",
                 { { "engine", aEngine.mId },
@@ -321,9 +321,9 @@
 {
   mChanged = true;
   LogVerdict(aEngine, aVerdict);
-  mCounters.mPauses += aVerdict.mLostBy || aVerdict.mEnded ? 0 : 1;
-  if (aVerdict.mLostBy && aVerdict.mEnded) {
-    ++mCounters.mEndedEngines[ToString(aVerdict.mEvidence)];
+  mCounters.mPauses += aVerdict.mLostBy || aVerdict.mExited ? 0 : 1;
+  if (aVerdict.mLostBy && aVerdict.mExited) {
+    ++mCounters.mExitedEngines[ToString(aVerdict.mEvidence)];
   }
   const auto planner = mPlanners.find(aEngine.mService);
   if (!aVerdict.mLostBy) {
@@ -340,8 +340,8 @@
   for (const auto& [id, engine] : mDirectory.Engines()) {
     const bool neighbour = !engine.mDomain.empty() && engine.mDomain == aEngine.mDomain &&
                            engine.mService == aEngine.mService;
-    if (neighbour && id != aEngine.mId && !mDoubts.IsLost(id)) {
-      mDoubts.Ask(engine);
+    if (neighbour && id != aEngine.mId && !mEngineSuspicions.IsLost(id)) {
+      mEngineSuspicions.Ask(engine);
     }
   }
 }
--- a/src/pepperbay/coordinator/coordinator_reach.cpp
+++ b/src/pepperbay/coordinator/coordinator_reach.cpp
@@ -12,10 +12,10 @@
 
 } // namespace
 
-EngineDoubtsHooks
-Coordinator::Impl::DoubtsHooks()
+EngineSuspicionsHooks
+Coordinator::Impl::SuspicionsHooks()
 {
-  EngineDoubtsHooks hooks;
+  EngineSuspicionsHooks hooks;
   hooks.mNow = mHooks.mNow;
   hooks.mAsk = [this](const EngineRecord& aEngine,
                       const EngineCallOptions& aOptions,
@@ -50,7 +50,7 @@
     return peer == nullptr ? std::nullopt : std::make_optional(*peer);
   };
   hooks.mHasPeers = [this] { return !mPeers.Peers().empty(); };
-  hooks.mIsBlind = [this] { return IsUnreached(); };
+  hooks.mIsUnreached = [this] { return IsUnreached(); };
   hooks.mFindSight = [this](const EngineRecord& aNotThis, std::function<void(bool)> aDone) {
     mSightLooks.Find(aNotThis, std::move(aDone));
   };
@@ -120,11 +120,11 @@
   std::vector<const EngineRecord*> others;
   std::vector<const EngineRecord*> doubted; ///< or neighbours, which are lost together
   for (const auto& [id, engine] : mDirectory.Engines()) {
-    if (id == aNotThis.mId || mDoubts.IsLost(id)) {
+    if (id == aNotThis.mId || mEngineSuspicions.IsLost(id)) {
       continue;
     }
     const bool neighbour = !engine.mDomain.empty() && engine.mDomain == aNotThis.mDomain;
-    (neighbour || mDoubts.IsAsked(id) ? doubted : others).push_back(&engine);
+    (neighbour || mEngineSuspicions.IsAsked(id) ? doubted : others).push_back(&engine);
   }
   const auto& from = others.empty() ? doubted : others;
   return from.empty() ? nullptr : from[mLooks++ % from.size()];
--- a/src/pepperbay/coordinator/coordinator_reach_test.cpp
+++ b/src/pepperbay/coordinator/coordinator_reach_test.cpp
@@ -316,7 +316,7 @@
   Silence(mMembers.back());
   const Duration took = UntilJoin(seconds(5));
   EXPECT_GT(took, GroupPlannerOptions().mPauseMost);
-  EXPECT_EQ(mWorld.Holder().mCoordinator->Counters().mEndedEngines.at("silent"), 1U);
+  EXPECT_EQ(mWorld.Holder().mCoordinator->Counters().mExitedEngines.at("silent"), 1U);
   EXPECT_LE(took, milliseconds(2500));
 }
 
--- a/src/pepperbay/coordinator/coordinator_registrations.cpp
+++ b/src/pepperbay/coordinator/coordinator_registrations.cpp
@@ -48,7 +48,7 @@
       return;
     case EngineNews::kNewStart:
       ++mCounters.mRestarts;
-      mDoubts.Forget(id);
+      mEngineSuspicions.Forget(id);
       mHooks.mLog("engine_restarted", { { "engine", id } });
       break;
     case EngineNews::kInDoubt:
--- a/src/pepperbay/coordinator/engine_doubts.hpp
+++ b/src/pepperbay/coordinator/engine_suspicions.hpp
@@ -18,7 +18,7 @@
 
 namespace pepperbay {
 
-struct EngineDoubtsOptions
+struct EngineSuspicionsOptions
 {
   Duration mAskTimeout = std::chrono::milliseconds(110);
   /// An engine that is well answers within a few milliseconds; a peer is asked beside after this,
@@ -29,20 +29,20 @@
   /// The same for those that are only silent: they may go on at any moment.
   Duration mAskSilent = std::chrono::milliseconds(200);
   /// An engine that is well may be silent for so long.
-  Duration mPauseMost = GroupPlannerOptions().mPauseMost;
+  Duration mMaxPause = GroupPlannerOptions().mPauseMost;
   /// What an engine says of itself is some 200 ms old; asking more often tells little more.
   Duration mAskState = std::chrono::milliseconds(250);
   /// An engine on which too few places have a word is asked so many times in a row.
-  int mMostRounds = 3;
+  int mMaxRounds = 3;
 };
 
 /// Whose words have made an engine count as lost.
 enum class LostBy
 {
-  kTwoPlaces,
-  kHereAlone, ///< no second place had a word
-  kPeerAlone, ///< a peer's; this node's own does not count, and no other peer had one
-  kNoPeers,   ///< there are no other nodes
+  kTwoVantagePoints,
+  kOwnProbeOnly,  ///< no second place had a word
+  kPeerProbeOnly, ///< a peer's; this node's own does not count, and no other peer had one
+  kNoPeers,       ///< there are no other nodes
 };
 
 const char*
@@ -64,7 +64,7 @@
   std::optional<LostBy> mLostBy; ///< none: it answers again
   std::string mError;            ///< how the last question ended, where it is lost
   LostEvidence mEvidence = LostEvidence::kSilent;
-  bool mEnded = false;      ///< it will not go on; once it answers: it had been taken for that
+  bool mExited = false;     ///< it will not go on; once it answers: it had been taken for that
   bool mWasLost = false;    ///< known to be lost before this verdict
   Duration mSilentFor{ 0 }; ///< since its last word, as far as known
   Duration mLostFor{ 0 };   ///< until it answers again
@@ -76,10 +76,10 @@
   TimePoint mSince{};       ///< it counts as lost
   TimePoint mSilentSince{}; ///< its last word, as far as known
   TimePoint mAsked{};       ///< last
-  bool mEnded = false;      ///< by more than silence, or by a longer one than a sound engine's
+  bool mExited = false;     ///< by more than silence, or by a longer one than a sound engine's
 };
 
-struct EngineDoubtsHooks
+struct EngineSuspicionsHooks
 {
   NowFn mNow;
   std::function<
@@ -98,7 +98,7 @@
   /// Whether other nodes are there at all.
   std::function<bool()> mHasPeers = nullptr;
   /// Whether this node is known to reach no engine by itself.
-  std::function<bool()> mIsBlind = nullptr;
+  std::function<bool()> mIsUnreached = nullptr;
   /// Find out whether this node reaches another engine now, see SightLooks. `aDone` may be called
   /// before this returns.
   std::function<void(const EngineRecord& aNotThis, std::function<void(bool aSees)> aDone)>
@@ -119,10 +119,10 @@
 /// A lost engine is to get no new requests, which can be undone. What cannot be undone waits until
 /// the engine has ended: refused connections show that at once, silence once it has outlasted the
 /// pause of a sound engine.
-class EngineDoubts
+class EngineSuspicions
 {
 public:
-  EngineDoubts(EngineDoubtsOptions aOptions, EngineDoubtsHooks aHooks);
+  EngineSuspicions(EngineSuspicionsOptions aOptions, EngineSuspicionsHooks aHooks);
 
   /// Ask an engine that may be lost, unless it is being asked; at a later Tick() where no question
   /// may be put now.
@@ -130,17 +130,17 @@
   void Ask(const EngineRecord& aEngine, std::optional<TimePoint> aSilentSince = std::nullopt);
   enum class IfSilent
   {
-    kSaysNothing,
-    kIsSuspect, ///< it is asked as by Ask()
+    kIgnore,
+    kSuspect, ///< it is asked as by Ask()
   };
   /// Ask an engine for its state, at most once in mAskState.
-  void AskOnce(const EngineRecord& aEngine, IfSilent aIfSilent = IfSilent::kSaysNothing);
+  void AskOnce(const EngineRecord& aEngine, IfSilent aIfSilent = IfSilent::kIgnore);
   /// An engine has started again: what was asked of the former start says nothing of this one.
   void Forget(const std::string& aEngine);
   bool IsLost(const std::string& aEngine) const { return mLost.count(aEngine) != 0; }
   /// @return whether an engine is lost by more than a silence that may be a pause.
-  bool HasEnded(const std::string& aEngine) const;
-  bool IsAsked(const std::string& aEngine) const { return mQuestions.count(aEngine) != 0; }
+  bool HasExited(const std::string& aEngine) const;
+  bool IsAsked(const std::string& aEngine) const { return mInvestigations.count(aEngine) != 0; }
   /// Ask lost engines again; forget those that nobody needs any more.
   /// @param aFind an engine that is still registered or a member of a replica, or none
   void Tick(const std::function<const EngineRecord*(const std::string&)>& aFind);
@@ -151,7 +151,7 @@
 
 private:
   /// Of one start of one engine.
-  struct Question
+  struct Investigation
   {
     EngineRecord mEngine;
     TimePoint mBegun{};
@@ -160,14 +160,14 @@
     int mOpen = 0;
     std::optional<TimePoint> mPeerDue; ///< counts as open until the peer is asked, or need not be
     bool mAnswered = false;
-    bool mUnheard = false;        ///< this node was too late to hear an answer
-    bool mUnansweredHere = false; ///< a question of this node's own had none
-    bool mSees = false;           ///< another engine has answered this node after that
-    int mUnansweredThere = 0;     ///< peers that see other engines and had none
-    bool mRefusedHere = false;    ///< all that this node heard of it was a refused connection
-    int mRefusedThere = 0;        ///< peers that heard the same
-    std::set<std::string> mPeers; ///< asked
-    std::string mError;           ///< how the last one ended
+    bool mReplyMissed = false;     ///< this node was too late to hear an answer
+    bool mOwnProbeFailed = false;  ///< a question of this node's own had none
+    bool mSees = false;            ///< another engine has answered this node after that
+    int mFailedPeerProbes = 0;     ///< peers that see other engines and had none
+    bool mOwnProbeRefused = false; ///< all that this node heard of it was a refused connection
+    int mRefusedPeerProbes = 0;    ///< peers that heard the same
+    std::set<std::string> mPeers;  ///< asked
+    std::string mError;            ///< how the last one ended
   };
 
   bool MayAsk() const { return !mHooks.mMayAsk || mHooks.mMayAsk(); }
@@ -175,34 +175,35 @@
   /// Put the questions of one round.
   void AskRound(const std::string& aEngine);
   /// @return whether there was a peer left to ask
-  bool AskThroughPeer(Question* aQuestion);
+  bool AskThroughPeer(Investigation* aInvestigation);
   /// Ask the peer that a round has in reserve.
-  void AskReserved(Question* aQuestion);
-  void AskDirectly(Question* aQuestion);
+  void AskReservedPeer(Investigation* aInvestigation);
+  void AskDirectly(Investigation* aInvestigation);
   void OnAnswer(const EngineRecord& aEngine,
                 const std::string& aPeer,
                 const Result<EngineReport>& aReport);
-  void OnNoAnswer(Question* aQuestion, const std::string& aPeer, const Error& aError);
+  void OnNoAnswer(Investigation* aInvestigation, const std::string& aPeer, const Error& aError);
   /// Find out whether this node's own failure says anything of the engine.
-  void FindSight(Question* aQuestion);
+  void FindSight(Investigation* aInvestigation);
   void OnSight(const EngineRecord& aEngine, bool aSees);
-  void EndOne(const std::string& aEngine, Question* aQuestion);
+  void FinishProbe(const std::string& aEngine, Investigation* aInvestigation);
   void OnRoundOver(const std::string& aEngine);
   /// No place has an answer.
   /// @param aLostBy whose words count; none: too few have a word on the engine
-  void Decide(const Question& aQuestion, std::optional<LostBy> aLostBy);
+  void Decide(const Investigation& aInvestigation, std::optional<LostBy> aLostBy);
   /// @return since when an engine that is asked now has been silent.
-  TimePoint SilentSince(const std::string& aEngine, std::optional<TimePoint> aTold) const;
-  void OnHeard(const EngineRecord& aEngine);
+  TimePoint SilentSince(const std::string& aEngine, std::optional<TimePoint> aReported) const;
+  void OnEngineReply(const EngineRecord& aEngine);
   /// @return whether the places that have no answer have heard refused connections.
-  bool IsRefused(const Question& aQuestion) const;
+  bool IsRefused(const Investigation& aInvestigation) const;
 
-  EngineDoubtsOptions mOptions;
-  EngineDoubtsHooks mHooks;
-  std::map<std::string, Question> mQuestions;
+  EngineSuspicionsOptions mOptions;
+  EngineSuspicionsHooks mHooks;
+  std::map<std::string, Investigation> mInvestigations;
   std::map<std::string, EngineRecord> mWaiting; ///< to be asked as soon as questions may be put
   std::map<std::string, LostEngine> mLost;
-  std::map<std::string, TimePoint> mHeard;     ///< last answers, of the longest pause of an engine
+  std::map<std::string, TimePoint>
+    mLastReplies;                              ///< last answers, of the longest pause of an engine
   std::map<std::string, TimePoint> mAskedOnce; ///< when
   std::uint64_t mAsked = 0;
   std::uint64_t mUndecided = 0;
--- a/src/pepperbay/coordinator/engine_doubts_test.cpp
+++ b/src/pepperbay/coordinator/engine_suspicions_test.cpp
@@ -1,4 +1,4 @@
-#include "engine_doubts.hpp"
+#include "engine_suspicions.hpp"
 
 #include <gtest/gtest.h>
 
@@ -12,12 +12,12 @@
 /// Sequence: an engine is asked and does not answer; it starts again under its id; then the
 /// questions put to the former start time out, before or after the new one is asked.
 /// Cause: a question was known by the engine's id alone.
-TEST(EngineDoubts, SilenceOfAFormerStartSaysNothingOfTheNewOne)
+TEST(EngineSuspicions, SilenceOfAFormerStartSaysNothingOfTheNewOne)
 {
   ManualClock clock;
   std::vector<std::function<void(Result<EngineReport>)>> asked;
   int lost = 0;
-  EngineDoubts doubts(
+  EngineSuspicions doubts(
     {},
     { clock.Hook(),
       [&](const EngineRecord&,
@@ -46,13 +46,13 @@
 }
 
 /// Guards against engines that count as lost because the node that asked them was late.
-TEST(EngineDoubts, AQuestionWhoseAnswerCouldNotBeHeardIsPutAgain)
+TEST(EngineSuspicions, AQuestionWhoseAnswerCouldNotBeHeardIsPutAgain)
 {
   ManualClock clock;
   std::vector<std::function<void(Result<EngineReport>)>> asked;
   int lost = 0;
   bool may = true;
-  EngineDoubts doubts(
+  EngineSuspicions doubts(
     {},
     { clock.Hook(),
       [&](const EngineRecord&,
@@ -80,10 +80,10 @@
 }
 
 /// Questions from several places, which the test answers.
-class EngineDoubtsFromTwoPlaces : public testing::Test
+class EngineSuspicionsFromTwoPlaces : public testing::Test
 {
 protected:
-  EngineDoubtsFromTwoPlaces() { mEngine.mId = "a"; }
+  EngineSuspicionsFromTwoPlaces() { mEngine.mId = "a"; }
 
   struct Asked
   {
@@ -91,9 +91,9 @@
     std::function<void(Result<EngineReport>)> mDone;
   };
 
-  EngineDoubtsHooks Hooks()
+  EngineSuspicionsHooks Hooks()
   {
-    EngineDoubtsHooks hooks;
+    EngineSuspicionsHooks hooks;
     hooks.mNow = mClock.Hook();
     hooks.mAsk = [this](const EngineRecord&,
                         const EngineCallOptions& aOptions,
@@ -116,7 +116,7 @@
       return std::optional<ProxyPeer>();
     };
     hooks.mHasPeers = [this] { return mHasPeers; };
-    hooks.mIsBlind = [this] { return mBlind; };
+    hooks.mIsUnreached = [this] { return mBlind; };
     hooks.mFindSight = [this](const EngineRecord&, const std::function<void(bool)>& aDone) {
       ++mLooks;
       aDone(mSees);
@@ -152,7 +152,7 @@
   Duration UntilEnded(Word aHere = Word::kNone, Word aThere = Word::kNone)
   {
     const TimePoint begun = mClock.Now();
-    while (!mDoubts.HasEnded("a") && mClock.Now() - begun < seconds(10)) {
+    while (!mEngineSuspicions.HasExited("a") && mClock.Now() - begun < seconds(10)) {
       Round(aHere, aThere);
     }
     return mClock.Now() - begun;
@@ -163,7 +163,7 @@
   {
     std::string places;
     mClock.Advance(milliseconds(40));
-    mDoubts.Tick([&](const std::string&) { return &mEngine; });
+    mEngineSuspicions.Tick([&](const std::string&) { return &mEngine; });
     for (const auto& it : std::exchange(mAsked, {})) {
       places += (it.mPeer.empty() ? "here" : it.mPeer) + " ";
       const Word word = it.mPeer.empty() ? aHere : aThere;
@@ -187,48 +187,48 @@
   std::vector<EngineVerdict> mVerdicts;
   int mLooks = 0;
   int mPathFaults = 0;
-  EngineDoubts mDoubts{ {}, Hooks() };
+  EngineSuspicions mEngineSuspicions{ {}, Hooks() };
 };
 
 /// Guards against repairs that wait longer for a second place's word than they did for a second
 /// question.
-TEST_F(EngineDoubtsFromTwoPlaces, AnEngineWithoutAnAnswerHereAndThereIsLostAfterOneRound)
+TEST_F(EngineSuspicionsFromTwoPlaces, AnEngineWithoutAnAnswerHereAndThereIsLostAfterOneRound)
 {
-  mDoubts.Ask(mEngine);
+  mEngineSuspicions.Ask(mEngine);
   EXPECT_EQ(Round(Word::kNone, Word::kNone), "here p1 ");
   EXPECT_EQ(mLooks, 1) << "whether this node sees others is found out after that";
-  EXPECT_EQ(mLostBy, LostBy::kTwoPlaces);
-  EXPECT_EQ(mLongest, EngineDoubtsOptions().mAskTimeout) << "as long as the direct question";
+  EXPECT_EQ(mLostBy, LostBy::kTwoVantagePoints);
+  EXPECT_EQ(mLongest, EngineSuspicionsOptions().mAskTimeout) << "as long as the direct question";
 }
 
 /// Guards against a peer, and a new connection to the engine, for each question of a calm day.
-TEST_F(EngineDoubtsFromTwoPlaces, NoPeerIsAskedWhereTheEngineAnswersAtOnce)
+TEST_F(EngineSuspicionsFromTwoPlaces, NoPeerIsAskedWhereTheEngineAnswersAtOnce)
 {
-  mDoubts.Ask(mEngine);
+  mEngineSuspicions.Ask(mEngine);
   ASSERT_EQ(mAsked.size(), 1U);
   std::exchange(mAsked, {}).front().mDone(EngineReport{});
   EXPECT_EQ(Round(Word::kNone, Word::kNone), "");
-  EXPECT_FALSE(mDoubts.IsAsked("a"));
+  EXPECT_FALSE(mEngineSuspicions.IsAsked("a"));
 }
 
 /// Guards against a holder without descriptors that takes all engines for lost.
-TEST_F(EngineDoubtsFromTwoPlaces, AQuestionThatCouldNotBePutIsNoWord)
+TEST_F(EngineSuspicionsFromTwoPlaces, AQuestionThatCouldNotBePutIsNoWord)
 {
   for (const bool peers : { true, false }) {
     mHasPeers = peers;
-    mDoubts.Ask(mEngine);
-    while (mDoubts.IsAsked("a")) {
+    mEngineSuspicions.Ask(mEngine);
+    while (mEngineSuspicions.IsAsked("a")) {
       Round(Word::kNotPut, Word::kUnheard);
     }
     EXPECT_FALSE(mLost);
   }
-  EXPECT_EQ(mDoubts.Undecided(), 2U);
+  EXPECT_EQ(mEngineSuspicions.Undecided(), 2U);
 }
 
 /// Guards against a wait for an engine that has ended and refuses at once.
-TEST_F(EngineDoubtsFromTwoPlaces, APeerIsAskedAtOnceWhereTheDirectQuestionHasFailed)
+TEST_F(EngineSuspicionsFromTwoPlaces, APeerIsAskedAtOnceWhereTheDirectQuestionHasFailed)
 {
-  mDoubts.Ask(mEngine);
+  mEngineSuspicions.Ask(mEngine);
   ASSERT_EQ(mAsked.size(), 1U);
   std::exchange(mAsked, {}).front().mDone(Error{ Errc::kUnavailable, "engine.ask", "a", "" });
   ASSERT_EQ(mAsked.size(), 1U);
@@ -236,215 +236,215 @@
 }
 
 /// Guards against a node whose own path is cut and that takes the engine for lost.
-TEST_F(EngineDoubtsFromTwoPlaces, OneThatAnswersThroughAPeerIsWellAndThePathAtFault)
+TEST_F(EngineSuspicionsFromTwoPlaces, OneThatAnswersThroughAPeerIsWellAndThePathAtFault)
 {
   mSees = false;
-  mDoubts.Ask(mEngine);
+  mEngineSuspicions.Ask(mEngine);
   Round(Word::kNone, Word::kAnswer);
   EXPECT_FALSE(mLost);
   EXPECT_EQ(mPathFaults, 1);
   EXPECT_TRUE(mAsked.empty());
 }
 
-TEST_F(EngineDoubtsFromTwoPlaces, ABlindNodeNeedsTheWordOfTwoPeers)
+TEST_F(EngineSuspicionsFromTwoPlaces, ABlindNodeNeedsTheWordOfTwoPeers)
 {
   mSees = false;
-  mDoubts.Ask(mEngine);
+  mEngineSuspicions.Ask(mEngine);
   EXPECT_EQ(Round(Word::kNone, Word::kNone), "here p1 ");
   EXPECT_FALSE(mLost);
   EXPECT_EQ(Round(Word::kNone, Word::kNone), "here p2 ");
   EXPECT_TRUE(mLost);
 }
 
-TEST_F(EngineDoubtsFromTwoPlaces, ANodeThatKnowsThatItIsBlindAsksTwoPeersAtOnce)
+TEST_F(EngineSuspicionsFromTwoPlaces, ANodeThatKnowsThatItIsBlindAsksTwoPeersAtOnce)
 {
   mSees = false;
   mBlind = true;
-  mDoubts.Ask(mEngine);
+  mEngineSuspicions.Ask(mEngine);
   EXPECT_EQ(Round(Word::kNone, Word::kNone), "p1 p2 ");
   EXPECT_TRUE(mLost);
 }
 
 /// Guards against peers that are cut as well, frozen or slow, and whose silence counts as a word.
-TEST_F(EngineDoubtsFromTwoPlaces, APlaceThatWasNotHeardSaysNothing)
+TEST_F(EngineSuspicionsFromTwoPlaces, APlaceThatWasNotHeardSaysNothing)
 {
   mSees = false;
-  mDoubts.Ask(mEngine);
+  mEngineSuspicions.Ask(mEngine);
   EXPECT_EQ(Round(Word::kNone, Word::kUnheard), "here p1 ");
   EXPECT_EQ(Round(Word::kNone, Word::kUnheard), "here p2 ");
   EXPECT_EQ(Round(Word::kNone, Word::kUnheard), "here p3 ");
   EXPECT_FALSE(mLost);
   EXPECT_TRUE(mAsked.empty()) << "it is asked again when somebody suspects it again";
-  EXPECT_EQ(mDoubts.Undecided(), 1U);
+  EXPECT_EQ(mEngineSuspicions.Undecided(), 1U);
 }
 
 /// Guards against a dead engine that is not repaired since all peers are gone.
-TEST_F(EngineDoubtsFromTwoPlaces, WhereNoPeerIsHeardANodeThatSeesOthersJudgesAlone)
+TEST_F(EngineSuspicionsFromTwoPlaces, WhereNoPeerIsHeardANodeThatSeesOthersJudgesAlone)
 {
-  mDoubts.Ask(mEngine);
+  mEngineSuspicions.Ask(mEngine);
   Round(Word::kNone, Word::kUnheard);
   Round(Word::kNone, Word::kUnheard);
   EXPECT_FALSE(mLost);
   Round(Word::kNone, Word::kUnheard);
   EXPECT_TRUE(mLost);
-  EXPECT_EQ(mLostBy, LostBy::kHereAlone);
+  EXPECT_EQ(mLostBy, LostBy::kOwnProbeOnly);
 }
 
-TEST_F(EngineDoubtsFromTwoPlaces, PeersOfAnOlderVersionAreNotAskedAndABlindNodeDecidesNothing)
+TEST_F(EngineSuspicionsFromTwoPlaces, PeersOfAnOlderVersionAreNotAskedAndABlindNodeDecidesNothing)
 {
   mPeers.clear();
   mSees = false;
-  mDoubts.Ask(mEngine);
+  mEngineSuspicions.Ask(mEngine);
   for (int i = 0; i < 3; ++i) {
     EXPECT_EQ(Round(Word::kNone, Word::kNone), "here ");
   }
   EXPECT_FALSE(mLost);
   mSees = true;
-  mDoubts.Ask(mEngine);
+  mEngineSuspicions.Ask(mEngine);
   for (int i = 0; i < 3; ++i) {
     Round(Word::kNone, Word::kNone);
   }
   EXPECT_TRUE(mLost);
 }
 
-TEST_F(EngineDoubtsFromTwoPlaces, ALostEngineIsBackAsSoonAsOnePlaceHearsIt)
+TEST_F(EngineSuspicionsFromTwoPlaces, ALostEngineIsBackAsSoonAsOnePlaceHearsIt)
 {
-  mDoubts.Ask(mEngine);
+  mEngineSuspicions.Ask(mEngine);
   Round(Word::kNone, Word::kNone);
   ASSERT_TRUE(mLost);
   mClock.Advance(seconds(1));
-  mDoubts.Tick([&](const std::string&) { return &mEngine; });
+  mEngineSuspicions.Tick([&](const std::string&) { return &mEngine; });
   Round(Word::kNone, Word::kAnswer);
   EXPECT_FALSE(mLost);
 }
 
 /// Guards against replicas that are formed anew, which ends their streams, for a pause.
-TEST_F(EngineDoubtsFromTwoPlaces, SilenceIsALossAtOnceAndAnEndOnlyAfterTheLongestPause)
+TEST_F(EngineSuspicionsFromTwoPlaces, SilenceIsALossAtOnceAndAnEndOnlyAfterTheLongestPause)
 {
-  mDoubts.Ask(mEngine);
+  mEngineSuspicions.Ask(mEngine);
   Round(Word::kNone, Word::kNone);
-  EXPECT_TRUE(mDoubts.IsLost("a")) << "it gets no new requests";
-  EXPECT_FALSE(mDoubts.HasEnded("a"));
-  EXPECT_GE(UntilEnded(), EngineDoubtsOptions().mPauseMost - milliseconds(40));
+  EXPECT_TRUE(mEngineSuspicions.IsLost("a")) << "it gets no new requests";
+  EXPECT_FALSE(mEngineSuspicions.HasExited("a"));
+  EXPECT_GE(UntilEnded(), EngineSuspicionsOptions().mMaxPause - milliseconds(40));
   ASSERT_EQ(mVerdicts.size(), 2U);
-  EXPECT_FALSE(mVerdicts[0].mEnded);
-  EXPECT_TRUE(mVerdicts[1].mEnded);
+  EXPECT_FALSE(mVerdicts[0].mExited);
+  EXPECT_TRUE(mVerdicts[1].mExited);
   EXPECT_EQ(mVerdicts[1].mEvidence, LostEvidence::kSilent);
   EXPECT_LE(mVerdicts[1].mSilentFor,
-            EngineDoubtsOptions().mPauseMost + 2 * EngineDoubtsOptions().mAskSilent);
+            EngineSuspicionsOptions().mMaxPause + 2 * EngineSuspicionsOptions().mAskSilent);
 }
 
 /// Guards against a repair of an engine that has ended waiting as long as for one that may go on.
-TEST_F(EngineDoubtsFromTwoPlaces, RefusedConnectionsFromTwoPlacesAreAnEndAtOnce)
+TEST_F(EngineSuspicionsFromTwoPlaces, RefusedConnectionsFromTwoPlacesAreAnEndAtOnce)
 {
-  mDoubts.Ask(mEngine);
+  mEngineSuspicions.Ask(mEngine);
   Round(Word::kRefused, Word::kRefused);
-  EXPECT_TRUE(mDoubts.HasEnded("a"));
+  EXPECT_TRUE(mEngineSuspicions.HasExited("a"));
   ASSERT_EQ(mVerdicts.size(), 1U);
   EXPECT_EQ(mVerdicts[0].mEvidence, LostEvidence::kRefused);
 }
 
 /// Guards against one path that refuses making an end of a pause.
-TEST_F(EngineDoubtsFromTwoPlaces, ARefusalFromOnePlaceIsNoEnd)
+TEST_F(EngineSuspicionsFromTwoPlaces, ARefusalFromOnePlaceIsNoEnd)
 {
-  mDoubts.Ask(mEngine);
+  mEngineSuspicions.Ask(mEngine);
   Round(Word::kRefused, Word::kNone);
-  EXPECT_TRUE(mDoubts.IsLost("a"));
-  EXPECT_FALSE(mDoubts.HasEnded("a"));
-  mDoubts.Forget("a");
+  EXPECT_TRUE(mEngineSuspicions.IsLost("a"));
+  EXPECT_FALSE(mEngineSuspicions.HasExited("a"));
+  mEngineSuspicions.Forget("a");
   mSees = false;
-  mDoubts.Ask(mEngine);
+  mEngineSuspicions.Ask(mEngine);
   Round(Word::kRefused, Word::kNone);
   Round(Word::kRefused, Word::kNone);
-  EXPECT_TRUE(mDoubts.IsLost("a"));
-  EXPECT_FALSE(mDoubts.HasEnded("a"));
+  EXPECT_TRUE(mEngineSuspicions.IsLost("a"));
+  EXPECT_FALSE(mEngineSuspicions.HasExited("a"));
 }
 
 /// Guards against a repair that waits for a pause of an engine that ends within its silence.
-TEST_F(EngineDoubtsFromTwoPlaces, ASilentEngineWhoseHostRefusesLaterHasEnded)
+TEST_F(EngineSuspicionsFromTwoPlaces, ASilentEngineWhoseHostRefusesLaterHasEnded)
 {
-  mDoubts.Ask(mEngine);
+  mEngineSuspicions.Ask(mEngine);
   Round(Word::kNone, Word::kNone);
   EXPECT_LE(UntilEnded(Word::kRefused, Word::kRefused), milliseconds(280));
 }
 
 /// Guards against an engine that goes on, and counts as ended by a question of before that.
-TEST_F(EngineDoubtsFromTwoPlaces, AnEngineIsAskedOnceMoreBeforeItsSilenceIsAnEnd)
+TEST_F(EngineSuspicionsFromTwoPlaces, AnEngineIsAskedOnceMoreBeforeItsSilenceIsAnEnd)
 {
-  mDoubts.Ask(mEngine);
+  mEngineSuspicions.Ask(mEngine);
   Round(Word::kNone, Word::kNone);
-  mClock.Advance(EngineDoubtsOptions().mAskSilent);
-  mDoubts.Tick([&](const std::string&) { return &mEngine; });
+  mClock.Advance(EngineSuspicionsOptions().mAskSilent);
+  mEngineSuspicions.Tick([&](const std::string&) { return &mEngine; });
   ASSERT_FALSE(mAsked.empty());
-  mClock.Advance(EngineDoubtsOptions().mPauseMost);
+  mClock.Advance(EngineSuspicionsOptions().mMaxPause);
   Round(Word::kNone, Word::kNone);
-  EXPECT_FALSE(mDoubts.HasEnded("a"));
-  mClock.Advance(EngineDoubtsOptions().mAskSilent);
+  EXPECT_FALSE(mEngineSuspicions.HasExited("a"));
+  mClock.Advance(EngineSuspicionsOptions().mAskSilent);
   Round(Word::kAnswer, Word::kAnswer);
-  EXPECT_FALSE(mDoubts.IsLost("a"));
+  EXPECT_FALSE(mEngineSuspicions.IsLost("a"));
   ASSERT_EQ(mVerdicts.size(), 2U);
   EXPECT_FALSE(mVerdicts[1].mLostBy);
-  EXPECT_FALSE(mVerdicts[1].mEnded);
+  EXPECT_FALSE(mVerdicts[1].mExited);
 }
 
 /// Guards against a repair that begins its wait with the first question, though streams have told
 /// of the silence before; and against a wait that counts the silence of others.
-TEST_F(EngineDoubtsFromTwoPlaces, SilenceCountsFromTheLastWord)
+TEST_F(EngineSuspicionsFromTwoPlaces, SilenceCountsFromTheLastWord)
 {
   constexpr milliseconds kTold{ 400 };
   mClock.Advance(seconds(5));
-  mDoubts.Ask(mEngine, mClock.Now() - kTold);
-  EXPECT_LE(UntilEnded(), EngineDoubtsOptions().mPauseMost - kTold + milliseconds(280));
+  mEngineSuspicions.Ask(mEngine, mClock.Now() - kTold);
+  EXPECT_LE(UntilEnded(), EngineSuspicionsOptions().mMaxPause - kTold + milliseconds(280));
   Round(Word::kAnswer, Word::kAnswer);
   mClock.Advance(seconds(1));
   Round(Word::kAnswer, Word::kAnswer);
-  ASSERT_FALSE(mDoubts.IsLost("a"));
-  mDoubts.Ask(mEngine, mClock.Now() - seconds(1));
-  EXPECT_GE(UntilEnded(), EngineDoubtsOptions().mPauseMost - milliseconds(40));
+  ASSERT_FALSE(mEngineSuspicions.IsLost("a"));
+  mEngineSuspicions.Ask(mEngine, mClock.Now() - seconds(1));
+  EXPECT_GE(UntilEnded(), EngineSuspicionsOptions().mMaxPause - milliseconds(40));
 }
 
 /// Guards against an engine that takes connections, answers nothing and is never replaced.
-TEST_F(EngineDoubtsFromTwoPlaces, AnEngineThatHangsHasEndedSomeRoundsAfterTheLongestPause)
+TEST_F(EngineSuspicionsFromTwoPlaces, AnEngineThatHangsHasEndedSomeRoundsAfterTheLongestPause)
 {
-  mDoubts.Ask(mEngine);
+  mEngineSuspicions.Ask(mEngine);
   const Duration took = UntilEnded(Word::kNone, Word::kUnheard);
-  EXPECT_GE(took, EngineDoubtsOptions().mPauseMost);
-  EXPECT_LE(took, EngineDoubtsOptions().mPauseMost + milliseconds(600));
+  EXPECT_GE(took, EngineSuspicionsOptions().mMaxPause);
+  EXPECT_LE(took, EngineSuspicionsOptions().mMaxPause + milliseconds(600));
 }
 
 /// Guards against a pause that counts from a word of well before it. A member's pause makes the
 /// head's streams stand still; the head answers, and pauses itself just before it is asked again.
-TEST_F(EngineDoubtsFromTwoPlaces, APauseCountsFromTheFirstQuestionItLeavesUnanswered)
+TEST_F(EngineSuspicionsFromTwoPlaces, APauseCountsFromTheFirstQuestionItLeavesUnanswered)
 {
   mClock.Advance(seconds(5));
   const TimePoint still = mClock.Now();
   mClock.Advance(milliseconds(180));
-  mDoubts.Ask(mEngine, still);
+  mEngineSuspicions.Ask(mEngine, still);
   Round(Word::kAnswer, Word::kAnswer);
-  ASSERT_FALSE(mDoubts.IsLost("a"));
+  ASSERT_FALSE(mEngineSuspicions.IsLost("a"));
   mClock.Advance(milliseconds(1000)); // nobody has asked it
   const TimePoint paused = mClock.Now();
-  mDoubts.Ask(mEngine, still);
+  mEngineSuspicions.Ask(mEngine, still);
   UntilEnded();
-  EXPECT_GE(mClock.Now() - paused, EngineDoubtsOptions().mPauseMost - milliseconds(40));
+  EXPECT_GE(mClock.Now() - paused, EngineSuspicionsOptions().mMaxPause - milliseconds(40));
 }
 
 /// The same with streams that are watched, whose silence is told again every 200 ms.
-TEST_F(EngineDoubtsFromTwoPlaces, APauseCountsFromTheFirstQuestionItLeavesUnansweredOften)
+TEST_F(EngineSuspicionsFromTwoPlaces, APauseCountsFromTheFirstQuestionItLeavesUnansweredOften)
 {
   mClock.Advance(seconds(5));
   const TimePoint still = mClock.Now();
   for (int i = 0; i < 3; ++i) {
     mClock.Advance(milliseconds(200));
-    mDoubts.Ask(mEngine, still);
+    mEngineSuspicions.Ask(mEngine, still);
     Round(Word::kAnswer, Word::kAnswer);
   }
   mClock.Advance(milliseconds(190));
   const TimePoint paused = mClock.Now();
   mClock.Advance(milliseconds(10));
-  mDoubts.Ask(mEngine, still);
+  mEngineSuspicions.Ask(mEngine, still);
   UntilEnded();
-  EXPECT_GE(mClock.Now() - paused, EngineDoubtsOptions().mPauseMost);
+  EXPECT_GE(mClock.Now() - paused, EngineSuspicionsOptions().mMaxPause);
 }
 
 } // namespace
--- a/src/pepperbay/edge/edge_metrics.cpp
+++ b/src/pepperbay/edge/edge_metrics.cpp
@@ -124,7 +124,7 @@
     Gauge("holds_lease", "This node gives the orders", aFigures.mHoldsLease ? 1 : 0),
     Counters("lost_engines_total", "Engines found not to answer", "by", control.mLostEngines),
     Counters(
-      "ended_engines_total", "Lost engines that had ended", "evidence", control.mEndedEngines),
+      "ended_engines_total", "Lost engines that had ended", "evidence", control.mExitedEngines),
     Counter("paused_engines_total", "Lost engines that went on", control.mPauses),
     Counter("undecided_engines_total", "Too few nodes had a word on them", control.mUndecided),
     Counter("asks_total", "Questions to engines", control.mAsks),
