--- a/cmake/Layers.cmake
+++ b/cmake/Layers.cmake
@@ -70,7 +70,7 @@
                                       coordinator_reach.cpp engine_calls.cpp engine_suspicions.cpp freshness_book.cpp
                                       coordinator_logs.cpp coordinator_rate_leases.cpp log_reads.cpp news_book.cpp
                                       node_tree.cpp peer_book.cpp plan_builder.cpp
-                                      rate_leases.cpp sight_looks.cpp suspect_keeper.cpp
+                                      rate_leases.cpp reachability_probes.cpp suspect_keeper.cpp
                   TESTS coordinator_test.cpp coordinator_tree_test.cpp coordinator_freshness_test.cpp coordinator_readers_test.cpp
                         coordinator_messages_test.cpp
                         coordinator_registrations_test.cpp coordinator_restored_test.cpp
@@ -79,7 +79,7 @@
                         coordinator_ended_test.cpp
                         coordinator_many_engines_test.cpp coordinator_limits_test.cpp
                         engine_calls_test.cpp engine_suspicions_test.cpp log_reads_test.cpp
-                        rate_leases_test.cpp round_pace_test.cpp sight_looks_test.cpp
+                        rate_leases_test.cpp round_pace_test.cpp reachability_probes_test.cpp
                   USES journal lease membership placement quarantine reach routing
                   PACKAGES nlohmann_json::nlohmann_json) # pure
 pepperbay_library(tunnel SOURCES sockets.cpp listener.cpp tunnel_server.cpp carried_connection.cpp
--- a/include/pepperbay/coordinator/coordinator.hpp
+++ b/include/pepperbay/coordinator/coordinator.hpp
@@ -37,7 +37,7 @@
   /// does not. See tunnel/tunnel_server.hpp.
   std::string mTunnelAddress;
   std::string mTunnelKey;
-  std::size_t mMostProxies = 8; ///< peers that it may ask for connections to engines
+  std::size_t mMaxProxies = 8; ///< peers that it may ask for connections to engines
   /// Processor that this process may use, in thousandths of a core; 0: not told.
   int mCpuPermille = 0;
   /// A node with less than half of another's processor, or one that reaches no engine by itself
@@ -136,17 +136,17 @@
   std::uint64_t mPauses = 0;    ///< lost engines that answered before they counted as ended
   std::uint64_t mUndecided = 0; ///< times that no node with sight had a word on a silent engine
   std::uint64_t mBeats = 0;
-  std::uint64_t mFeeds = 0; ///< times that another node passed records of the store on
-  std::uint64_t mLooks = 0; ///< reads of the store because what others told was too old
+  std::uint64_t mFeeds = 0;       ///< times that another node passed records of the store on
+  std::uint64_t mDirectReads = 0; ///< reads of the store because what others told was too old
   std::uint64_t mBadMessages = 0;
   std::uint64_t mBadConfigurations = 0;
-  std::uint64_t mBadRegistrations = 0; ///< entries that name no engine
-  std::uint64_t mRestarts = 0;         ///< engines that started again under their id
-  std::uint64_t mFormerStarts = 0;     ///< words of a start that has been replaced; not taken
-  std::uint64_t mSuspectRequests = 0;  ///< under which engines have ended; now
-  std::uint64_t mHeldRequests = 0;     ///< of these, held back; now
-  std::uint64_t mStoreRestored = 0;    ///< logs that came back from an older copy
-  std::uint64_t mBadSuspects = 0;      ///< words of suspect requests that could not be read
+  std::uint64_t mBadRegistrations = 0;    ///< entries that name no engine
+  std::uint64_t mRestarts = 0;            ///< engines that started again under their id
+  std::uint64_t mStaleIncarnations = 0;   ///< words of a start that has been replaced; not taken
+  std::uint64_t mSuspectRequests = 0;     ///< under which engines have ended; now
+  std::uint64_t mQuarantinedRequests = 0; ///< of these, held back; now
+  std::uint64_t mStoreRestored = 0;       ///< logs that came back from an older copy
+  std::uint64_t mBadSuspects = 0;         ///< words of suspect requests that could not be read
 };
 
 class Coordinator
--- a/scripts/mutants/reach.sh
+++ b/scripts/mutants/reach.sh
@@ -14,7 +14,7 @@
 mutant "one place's silence is enough" $s/coordinator/engine_suspicions.cpp \
   's/vantagePoints < kRequiredVantagePoints \&\& !last/false/' $doubts '*NeedsTheWordOfTwoPeers*'
 mutant "the silence of a blind node counts" $s/coordinator/engine_suspicions.cpp \
-  's/investigation.mOwnProbeFailed \&\& investigation.mSees/investigation.mOwnProbeFailed/' $doubts '*ABlindNodeNeeds*:*PeersOfAnOlderVersion*'
+  's/investigation.mOwnProbeFailed \&\& investigation.mReachesOthers/investigation.mOwnProbeFailed/' $doubts '*ABlindNodeNeeds*:*PeersOfAnOlderVersion*'
 mutant "a peer that was not heard counts" $s/coordinator/engine_suspicions.cpp \
   's/\} else if \(conclusive\) \{/} else {/' $doubts '*ThatWasNotHeard*'
 mutant "a blind holder asks itself" $s/coordinator/engine_suspicions.cpp \
@@ -40,7 +40,7 @@
 mutant "delegates do not tell who reaches nothing" $s/coordinator/coordinator_reach.cpp \
   's/  if \(!mTree.IsUpper\(\)\) \{/  if (true) {/' coordinator_coordinator_reach_test 'ReachOfAFleet.*'
 mutant "the lease does not wait for who reaches engines" $s/coordinator/coordinator.cpp \
-  's/weaker \|\| \(IsUnreached\(\) \&\& HearsReached\(\)\)/weaker/' coordinator_coordinator_reach_test '*EitherIsCut*'
+  's/weaker \|\| \(IsUnreached\(\) \&\& HasReachingPeer\(\)\)/weaker/' coordinator_coordinator_reach_test '*EitherIsCut*'
 mutant "a kept connection that is closed uses its engine up" $s/relay/exchange_suspect.cpp \
   's/  if \(aEnd.mStale\) \{/  if (false) {/' relay_relay_moves_test '*KeptConnectionIsClosed*'
 mutant "a server ends with answers unsent" $s/http/server.cpp \
@@ -60,9 +60,9 @@
 mutant "peers that have failed take no part once three were asked" $s/relay/connecting.cpp \
   's/fails \&\& mFailingAsked >= /fails \&\& mAsked.size() >= /' relay_connector_peers_test '*OneThatFailed*'
 mutant "what was heard before a failure is sight" $s/coordinator/engine_suspicions.cpp \
-  's/investigation.mOwnProbeFailed \&\& investigation.mSees/investigation.mOwnProbeFailed/' coordinator_coordinator_reach_test '*OneOther*'
+  's/investigation.mOwnProbeFailed \&\& investigation.mReachesOthers/investigation.mOwnProbeFailed/' coordinator_coordinator_reach_test '*OneOther*'
 mutant "a kept connection is sight" $s/coordinator/coordinator_reach.cpp \
   's/options.mOwnConnection = true;/options.mOwnConnection = false;/' coordinator_coordinator_reach_test '*OneOther*'
-mutant "a failure shares the look that was begun before" $s/coordinator/sight_looks.cpp \
+mutant "a failure shares the look that was begun before" $s/coordinator/reachability_probes.cpp \
   's/mHooks.mAsk\(\*engine, \[this, waiting = std::move\(waiting\)\]\(bool aAnswered\) \{/mHooks.mAsk(*engine, [this, waiting = std::move(waiting)](bool aAnswered) mutable { for (auto\& it : std::exchange(mWaiting, {})) { waiting.push_back(std::move(it)); }/' \
-  coordinator_sight_looks_test '*PutBefore*'
+  coordinator_reachability_probes_test '*PutBefore*'
--- a/src/pepperbay/coordinator/coordinator.cpp
+++ b/src/pepperbay/coordinator/coordinator.cpp
@@ -144,7 +144,7 @@
   , mLease(LeaseOptionsOf(mOptions), CountedLease(), mHooks.mNow)
   , mCalls({}, { mHooks.mNow, mHooks.mOrder, mHooks.mAsk })
   , mProxies(ProxyChoiceOptionsOf(mOptions.mNode, mOptions.mDataCentre))
-  , mSightLooks(LooksHooks())
+  , mReachabilityProbes(ReachabilityHooks())
   , mEngineSuspicions(SuspicionsOptionsOf(mOptions), SuspicionsHooks())
   , mPeers(mOptions.mNode, mOptions.mPeerSilence)
   , mFreshness(mOptions.mNode, mOptions.mIncarnation)
@@ -273,7 +273,7 @@
   mDirectory.Tick(now);
   UpdateProxies();
   if (MayOrder()) {
-    ProbeWays();
+    ProbePaths();
     mEngineSuspicions.Tick([this](const std::string& aEngine) { return FindEngine(aEngine); });
   }
   PlanPools();
@@ -290,7 +290,7 @@
   const TimePoint now = Now();
   const bool weaker = mPeers.HasStronger(mOptions.mCpuPermille, now);
   // Orders go through peers as well, only later; one that holds the lease keeps it.
-  const bool waits = weaker || (IsUnreached() && HearsReached());
+  const bool waits = weaker || (IsUnreached() && HasReachingPeer());
   mLease.SetStagger(StaggerOf(mOptions) + (waits ? mOptions.mWeakerWaits : Duration::zero()));
   if (weaker && mLease.Held() && now >= mYieldDue) {
     mYieldDue = now + mOptions.mYieldEvery;
@@ -499,7 +499,7 @@
   mImpl->mCounters.mAsks = mImpl->mEngineSuspicions.Asked();
   mImpl->mCounters.mUndecided = mImpl->mEngineSuspicions.Undecided();
   mImpl->mCounters.mSuspectRequests = mImpl->mSuspects.Book().Size();
-  mImpl->mCounters.mHeldRequests = mImpl->HeldRequests();
+  mImpl->mCounters.mQuarantinedRequests = mImpl->HeldRequests();
   mImpl->mCounters.mBadSuspects = mImpl->mSuspects.BadRecords();
   return mImpl->mCounters;
 }
--- a/src/pepperbay/coordinator/coordinator_dump.cpp
+++ b/src/pepperbay/coordinator/coordinator_dump.cpp
@@ -116,7 +116,7 @@
                       { "store_read_by",
                         { { "node", ReadsForItself() ? mOptions.mNode : mTree.Reader() },
                           { "lost", StoreLost() },
-                          { "looks", mCounters.mLooks } } },
+                          { "looks", mCounters.mDirectReads } } },
                       { "logs", logs },
                       { "engines", mDirectory.Engines().size() },
                       { "engines_reached",
--- a/src/pepperbay/coordinator/coordinator_impl.hpp
+++ b/src/pepperbay/coordinator/coordinator_impl.hpp
@@ -12,8 +12,8 @@
 #include "peer_book.hpp"
 #include "pepperbay/coordinator/coordinator.hpp"
 #include "plan_builder.hpp"
+#include "reachability_probes.hpp"
 #include "round_pace.hpp"
-#include "sight_looks.hpp"
 #include "suspect_keeper.hpp"
 
 namespace pepperbay {
@@ -127,23 +127,23 @@
   EngineSuspicionsHooks SuspicionsHooks();
   void SetReach(bool aReaches);
   /// @return whether this node's own connections are known not to reach the engines.
-  bool IsUnreached() const { return mTrafficUnreached || mWays.Avoids(); }
+  bool IsUnreached() const { return mTrafficUnreached || mPaths.Avoids(); }
   /// @return whether a peer is heard that reaches engines.
-  bool HearsReached() const;
+  bool HasReachingPeer() const;
   /// How a call goes to an engine.
   EngineCallOptions CallOptions(const std::string& aEngine,
                                 const std::string& aDataCentre,
                                 Duration aTimeout);
-  SightLooksHooks LooksHooks();
+  ReachabilityProbesHooks ReachabilityHooks();
   /// @return an engine that is well as far as is known, of another domain where there is one; null
   /// for none.
-  const EngineRecord* PickForSight(const EngineRecord& aNotThis);
+  const EngineRecord* PickProbeTarget(const EngineRecord& aNotThis);
   /// Try whether own connections reach engines again.
-  void ProbeWays();
+  void ProbePaths();
   /// Ask an engine directly, only to see whether this node reaches it.
-  void AskForSight(const EngineRecord& aEngine, std::function<void(bool aAnswered)> aDone);
+  void ProbeReachability(const EngineRecord& aEngine, std::function<void(bool aAnswered)> aDone);
   /// Note what a question through a peer says of the peer.
-  void NoteProxy(const EngineCallOptions& aOptions, bool aHeard);
+  void NoteProxy(const EngineCallOptions& aOptions, bool aAnswered);
   /// Put the peers together that may be asked, where anything has changed.
   void UpdateProxies();
   void NoteUnreached(const proto::Beat& aBeat);
@@ -218,14 +218,14 @@
   /// written again and again gives one line.
   std::map<std::string, std::string> mRefusedEntries;
   EngineCalls mCalls;
-  WayBook mWays; ///< of orders and questions
+  WayBook mPaths; ///< of orders and questions
   ProxyChoice mProxies;
   std::shared_ptr<const ProxyPeers> mProxyPeers;
   std::size_t mProxiesOf = 0;     ///< what they were put together from
   bool mTrafficUnreached = false; ///< connections for requests do not reach the engines
-  bool mToldUnreached = false;
-  SightLooks mSightLooks;
-  std::size_t mLooks = 0;
+  bool mReportedUnreached = false;
+  ReachabilityProbes mReachabilityProbes;
+  std::size_t mNextProbe = 0;
   EngineSuspicions mEngineSuspicions;
   PeerBook mPeers;
   FreshnessBook mFreshness;
--- a/src/pepperbay/coordinator/coordinator_logs.cpp
+++ b/src/pepperbay/coordinator/coordinator_logs.cpp
@@ -123,7 +123,7 @@
 void
 Coordinator::Impl::LogLook(FollowedLog aLog, Duration aAge)
 {
-  ++mCounters.mLooks;
+  ++mCounters.mDirectReads;
   mHooks.mLog("store_looked_at",
               { { "log", NameOf(aLog) },
                 { "age_ms", std::to_string(ToMs(aAge).count()) },
--- a/src/pepperbay/coordinator/coordinator_reach.cpp
+++ b/src/pepperbay/coordinator/coordinator_reach.cpp
@@ -8,7 +8,7 @@
 namespace {
 
 /// Nodes that are named in one heartbeat; a data centre of the largest fleet has some 130.
-constexpr int kMostNamed = 256;
+constexpr int kMaxNamedNodes = 256;
 
 } // namespace
 
@@ -23,14 +23,14 @@
     mCalls.Ask(aEngine,
                aOptions,
                [this, id = aEngine.mId, aOptions, aDone](const Result<EngineReport>& aReport) {
-                 const bool heard =
+                 const bool answered =
                    aReport.has_value() || aReport.error().mCode != Errc::kCancelled;
-                 NoteProxy(aOptions, heard);
+                 NoteProxy(aOptions, answered);
                  if (aReport.has_value() && aOptions.mVia) {
-                   mWays.OnReachedByPeer(id);
+                   mPaths.OnReachedByPeer(id);
                  }
                  if (aReport.has_value() && !aOptions.mVia) {
-                   mWays.OnConnected(id, Now());
+                   mPaths.OnConnected(id, Now());
                  }
                  aDone(aReport);
                });
@@ -51,11 +51,11 @@
   };
   hooks.mHasPeers = [this] { return !mPeers.Peers().empty(); };
   hooks.mIsUnreached = [this] { return IsUnreached(); };
-  hooks.mFindSight = [this](const EngineRecord& aNotThis, std::function<void(bool)> aDone) {
-    mSightLooks.Find(aNotThis, std::move(aDone));
+  hooks.mCheckReachability = [this](const EngineRecord& aNotThis, std::function<void(bool)> aDone) {
+    mReachabilityProbes.Find(aNotThis, std::move(aDone));
   };
   hooks.mOnPathFault = [this](const EngineRecord& aEngine, TimePoint aBegun) {
-    mWays.OnPathFault(aEngine.mId, aBegun, Now());
+    mPaths.OnPathFault(aEngine.mId, aBegun, Now());
   };
   return hooks;
 }
@@ -67,7 +67,7 @@
 }
 
 bool
-Coordinator::Impl::HearsReached() const
+Coordinator::Impl::HasReachingPeer() const
 {
   const auto& peers = mPeers.Peers();
   return std::any_of(peers.begin(), peers.end(), [this](const auto& aPeer) {
@@ -82,7 +82,7 @@
                                Duration aTimeout)
 {
   EngineCallOptions options{ aTimeout, std::nullopt };
-  if (mTrafficUnreached || mWays.WayTo(aEngine, Now()) == Way::kPeer) {
+  if (mTrafficUnreached || mPaths.WayTo(aEngine, Now()) == Way::kPeer) {
     if (const ProxyPeer* peer = mProxies.Pick(aDataCentre, {}, Now())) {
       options.mVia = *peer;
     }
@@ -91,47 +91,47 @@
 }
 
 void
-Coordinator::Impl::NoteProxy(const EngineCallOptions& aOptions, bool aHeard)
+Coordinator::Impl::NoteProxy(const EngineCallOptions& aOptions, bool aAnswered)
 {
   if (!aOptions.mVia) {
     return;
   }
-  if (aHeard) {
+  if (aAnswered) {
     mProxies.OnWorked(aOptions.mVia->mNode);
   } else {
     mProxies.OnFailed(aOptions.mVia->mNode, Now());
   }
 }
 
-SightLooksHooks
-Coordinator::Impl::LooksHooks()
+ReachabilityProbesHooks
+Coordinator::Impl::ReachabilityHooks()
 {
-  SightLooksHooks hooks;
-  hooks.mPick = [this](const EngineRecord& aNotThis) { return PickForSight(aNotThis); };
+  ReachabilityProbesHooks hooks;
+  hooks.mPick = [this](const EngineRecord& aNotThis) { return PickProbeTarget(aNotThis); };
   hooks.mAsk = [this](const EngineRecord& aEngine, std::function<void(bool)> aDone) {
-    AskForSight(aEngine, std::move(aDone));
+    ProbeReachability(aEngine, std::move(aDone));
   };
   return hooks;
 }
 
 const EngineRecord*
-Coordinator::Impl::PickForSight(const EngineRecord& aNotThis)
+Coordinator::Impl::PickProbeTarget(const EngineRecord& aNotThis)
 {
   std::vector<const EngineRecord*> others;
-  std::vector<const EngineRecord*> doubted; ///< or neighbours, which are lost together
+  std::vector<const EngineRecord*> lessSuitable; ///< or neighbours, which are lost together
   for (const auto& [id, engine] : mDirectory.Engines()) {
     if (id == aNotThis.mId || mEngineSuspicions.IsLost(id)) {
       continue;
     }
     const bool neighbour = !engine.mDomain.empty() && engine.mDomain == aNotThis.mDomain;
-    (neighbour || mEngineSuspicions.IsAsked(id) ? doubted : others).push_back(&engine);
+    (neighbour || mEngineSuspicions.IsAsked(id) ? lessSuitable : others).push_back(&engine);
   }
-  const auto& from = others.empty() ? doubted : others;
-  return from.empty() ? nullptr : from[mLooks++ % from.size()];
+  const auto& from = others.empty() ? lessSuitable : others;
+  return from.empty() ? nullptr : from[mNextProbe++ % from.size()];
 }
 
 void
-Coordinator::Impl::AskForSight(const EngineRecord& aEngine, std::function<void(bool)> aDone)
+Coordinator::Impl::ProbeReachability(const EngineRecord& aEngine, std::function<void(bool)> aDone)
 {
   EngineCallOptions options{ mOptions.mAskTimeout, std::nullopt };
   options.mOwnConnection = true;
@@ -140,26 +140,26 @@
     options,
     [this, id = aEngine.mId, done = std::move(aDone)](const Result<EngineReport>& aReport) {
       if (aReport.has_value()) {
-        mWays.OnConnected(id, Now());
+        mPaths.OnConnected(id, Now());
       }
       done(aReport.has_value());
     });
 }
 
 void
-Coordinator::Impl::ProbeWays()
+Coordinator::Impl::ProbePaths()
 {
-  if (!mWays.TakeProbe(Now()) || mDirectory.Engines().empty()) {
+  if (!mPaths.TakeProbe(Now()) || mDirectory.Engines().empty()) {
     return;
   }
-  auto it = mDirectory.Engines().find(mWays.EngineToTry());
+  auto it = mDirectory.Engines().find(mPaths.EngineToTry());
   if (it == mDirectory.Engines().end()) {
     it = mDirectory.Engines().begin();
-    std::advance(it, static_cast<std::ptrdiff_t>(mLooks++ % mDirectory.Engines().size()));
+    std::advance(it, static_cast<std::ptrdiff_t>(mNextProbe++ % mDirectory.Engines().size()));
   }
-  AskForSight(it->second, [this](bool aAnswered) {
+  ProbeReachability(it->second, [this](bool aAnswered) {
     if (!aAnswered) {
-      mWays.OnBadProbe(Now());
+      mPaths.OnBadProbe(Now());
     }
   });
 }
@@ -168,8 +168,8 @@
 Coordinator::Impl::UpdateProxies()
 {
   const TimePoint now = Now();
-  if (mToldUnreached != IsUnreached()) {
-    mToldUnreached = IsUnreached();
+  if (mReportedUnreached != IsUnreached()) {
+    mReportedUnreached = IsUnreached();
     mBeatDue = now; // others ask this node for nothing, and carry for it, from now on
   }
   std::size_t of = mPeers.Revision();
@@ -182,7 +182,7 @@
   }
   mProxiesOf = of;
   mProxyPeers = std::make_shared<const ProxyPeers>(ChooseProxyPeers(
-    mOptions.mNode, mOptions.mDataCentre, mPeers.Proxies(now), mOptions.mMostProxies));
+    mOptions.mNode, mOptions.mDataCentre, mPeers.Proxies(now), mOptions.mMaxProxies));
   mProxies.SetPeers(mProxyPeers);
   mPublishDue = now;
 }
@@ -204,9 +204,9 @@
   for (const auto& [name, peer] : mPeers.Peers()) {
     // What was told by others goes to followers only, or two delegates would tell it each other for
     // ever.
-    const bool tells = mPeers.Alive(peer, Now()) ? peer.mBeat.unreached()
-                                                 : aToFollower && mPeers.Unreached(peer, Now());
-    if (tells && aBeat->unreached_nodes_size() < kMostNamed) {
+    const bool reports = mPeers.Alive(peer, Now()) ? peer.mBeat.unreached()
+                                                   : aToFollower && mPeers.Unreached(peer, Now());
+    if (reports && aBeat->unreached_nodes_size() < kMaxNamedNodes) {
       aBeat->add_unreached_nodes(ShortId(name));
     }
   }
--- a/src/pepperbay/coordinator/coordinator_registrations.cpp
+++ b/src/pepperbay/coordinator/coordinator_registrations.cpp
@@ -43,7 +43,7 @@
   }
   switch (mDirectory.Put(std::move(aEngine), Now())) {
     case EngineNews::kFormerStart:
-      ++mCounters.mFormerStarts;
+      ++mCounters.mStaleIncarnations;
       mHooks.mLog("former_start", { { "engine", id }, { "source", "registration" } });
       return;
     case EngineNews::kNewStart:
@@ -81,7 +81,7 @@
 Coordinator::Impl::OnReport(const EngineRecord& aEngine, const EngineReport& aReport)
 {
   if (aReport.mBorn < mDirectory.NewestStart(aEngine.mId)) {
-    ++mCounters.mFormerStarts;
+    ++mCounters.mStaleIncarnations;
     mHooks.mLog("former_start", { { "engine", aEngine.mId }, { "source", "report" } });
     return;
   }
--- a/src/pepperbay/coordinator/coordinator_registrations_test.cpp
+++ b/src/pepperbay/coordinator/coordinator_registrations_test.cpp
@@ -70,7 +70,7 @@
   node.mCoordinator->OnSuspect(head, milliseconds(200));
   Run(milliseconds(300));
   EXPECT_EQ(node.mCoordinator->Counters().mRestarts, 1U);
-  EXPECT_GE(node.mCoordinator->Counters().mFormerStarts, 1U);
+  EXPECT_GE(node.mCoordinator->Counters().mStaleIncarnations, 1U);
   EXPECT_GE(mLines["former_start"], 1);
 }
 
--- a/src/pepperbay/coordinator/engine_suspicions.cpp
+++ b/src/pepperbay/coordinator/engine_suspicions.cpp
@@ -204,8 +204,8 @@
     const bool silentBefore = aInvestigation->mOwnProbeFailed && !aInvestigation->mOwnProbeRefused;
     aInvestigation->mOwnProbeFailed = aInvestigation->mOwnProbeFailed || conclusive;
     aInvestigation->mOwnProbeRefused = refused && !silentBefore;
-    if (conclusive && HasPeers() && !aInvestigation->mSees) {
-      FindSight(aInvestigation);
+    if (conclusive && HasPeers() && !aInvestigation->mReachesOthers) {
+      CheckReachability(aInvestigation);
     }
   } else if (conclusive) {
     ++aInvestigation->mFailedPeerProbes;
@@ -215,20 +215,21 @@
 }
 
 void
-EngineSuspicions::FindSight(Investigation* aInvestigation)
+EngineSuspicions::CheckReachability(Investigation* aInvestigation)
 {
   ++aInvestigation->mOpen;
-  mHooks.mFindSight(aInvestigation->mEngine, [this, engine = aInvestigation->mEngine](bool aSees) {
-    OnSight(engine, aSees);
-  });
+  mHooks.mCheckReachability(aInvestigation->mEngine,
+                            [this, engine = aInvestigation->mEngine](bool aReachesOthers) {
+                              OnReachability(engine, aReachesOthers);
+                            });
 }
 
 void
-EngineSuspicions::OnSight(const EngineRecord& aEngine, bool aSees)
+EngineSuspicions::OnReachability(const EngineRecord& aEngine, bool aReachesOthers)
 {
   const auto it = mInvestigations.find(aEngine.mId);
   if (it != mInvestigations.end() && it->second.mEngine.mBorn == aEngine.mBorn) {
-    it->second.mSees = it->second.mSees || aSees;
+    it->second.mReachesOthers = it->second.mReachesOthers || aReachesOthers;
     FinishProbe(aEngine.mId, &it->second);
   }
 }
@@ -264,7 +265,7 @@
            investigation.mOwnProbeFailed ? std::make_optional(LostBy::kNoPeers) : std::nullopt);
     return;
   }
-  const bool here = investigation.mOwnProbeFailed && investigation.mSees;
+  const bool here = investigation.mOwnProbeFailed && investigation.mReachesOthers;
   const int vantagePoints = investigation.mFailedPeerProbes + (here ? 1 : 0);
   const bool last = investigation.mRounds >= mOptions.mMaxRounds;
   if (vantagePoints < kRequiredVantagePoints && !last) {
@@ -318,7 +319,8 @@
 EngineSuspicions::IsRefused(const Investigation& aInvestigation) const
 {
   // A path may refuse what the engine would take: each place that counts has to say it, up to two.
-  const bool here = aInvestigation.mOwnProbeFailed && (aInvestigation.mSees || !HasPeers());
+  const bool here =
+    aInvestigation.mOwnProbeFailed && (aInvestigation.mReachesOthers || !HasPeers());
   const int vantagePoints = aInvestigation.mFailedPeerProbes + (here ? 1 : 0);
   const int refused =
     aInvestigation.mRefusedPeerProbes + (here && aInvestigation.mOwnProbeRefused ? 1 : 0);
--- a/src/pepperbay/coordinator/engine_suspicions.hpp
+++ b/src/pepperbay/coordinator/engine_suspicions.hpp
@@ -101,8 +101,8 @@
   std::function<bool()> mIsUnreached = nullptr;
   /// Find out whether this node reaches another engine now, see SightLooks. `aDone` may be called
   /// before this returns.
-  std::function<void(const EngineRecord& aNotThis, std::function<void(bool aSees)> aDone)>
-    mFindSight = nullptr;
+  std::function<void(const EngineRecord& aNotThis, std::function<void(bool aReachesOthers)> aDone)>
+    mCheckReachability = nullptr;
   /// A peer has an answer of an engine that this node's own question has none of.
   std::function<void(const EngineRecord&, TimePoint aBegun)> mOnPathFault = nullptr;
 };
@@ -162,7 +162,7 @@
     bool mAnswered = false;
     bool mReplyMissed = false;     ///< this node was too late to hear an answer
     bool mOwnProbeFailed = false;  ///< a question of this node's own had none
-    bool mSees = false;            ///< another engine has answered this node after that
+    bool mReachesOthers = false;   ///< another engine has answered this node after that
     int mFailedPeerProbes = 0;     ///< peers that see other engines and had none
     bool mOwnProbeRefused = false; ///< all that this node heard of it was a refused connection
     int mRefusedPeerProbes = 0;    ///< peers that heard the same
@@ -184,8 +184,8 @@
                 const Result<EngineReport>& aReport);
   void OnNoAnswer(Investigation* aInvestigation, const std::string& aPeer, const Error& aError);
   /// Find out whether this node's own failure says anything of the engine.
-  void FindSight(Investigation* aInvestigation);
-  void OnSight(const EngineRecord& aEngine, bool aSees);
+  void CheckReachability(Investigation* aInvestigation);
+  void OnReachability(const EngineRecord& aEngine, bool aReachesOthers);
   void FinishProbe(const std::string& aEngine, Investigation* aInvestigation);
   void OnRoundOver(const std::string& aEngine);
   /// No place has an answer.
--- a/src/pepperbay/coordinator/engine_suspicions_test.cpp
+++ b/src/pepperbay/coordinator/engine_suspicions_test.cpp
@@ -117,9 +117,9 @@
     };
     hooks.mHasPeers = [this] { return mHasPeers; };
     hooks.mIsUnreached = [this] { return mBlind; };
-    hooks.mFindSight = [this](const EngineRecord&, const std::function<void(bool)>& aDone) {
-      ++mLooks;
-      aDone(mSees);
+    hooks.mCheckReachability = [this](const EngineRecord&, const std::function<void(bool)>& aDone) {
+      ++mDirectReads;
+      aDone(mReachesOthers);
     };
     hooks.mOnPathFault = [this](const EngineRecord&, TimePoint) { ++mPathFaults; };
     return hooks;
@@ -181,11 +181,11 @@
   std::vector<Asked> mAsked;
   bool mHasPeers = true;
   bool mBlind = false;
-  bool mSees = true;
+  bool mReachesOthers = true;
   bool mLost = false;
   std::optional<LostBy> mLostBy;
   std::vector<EngineVerdict> mVerdicts;
-  int mLooks = 0;
+  int mDirectReads = 0;
   int mPathFaults = 0;
   EngineSuspicions mEngineSuspicions{ {}, Hooks() };
 };
@@ -196,7 +196,7 @@
 {
   mEngineSuspicions.Ask(mEngine);
   EXPECT_EQ(Round(Word::kNone, Word::kNone), "here p1 ");
-  EXPECT_EQ(mLooks, 1) << "whether this node sees others is found out after that";
+  EXPECT_EQ(mDirectReads, 1) << "whether this node sees others is found out after that";
   EXPECT_EQ(mLostBy, LostBy::kTwoVantagePoints);
   EXPECT_EQ(mLongest, EngineSuspicionsOptions().mAskTimeout) << "as long as the direct question";
 }
@@ -238,7 +238,7 @@
 /// Guards against a node whose own path is cut and that takes the engine for lost.
 TEST_F(EngineSuspicionsFromTwoPlaces, OneThatAnswersThroughAPeerIsWellAndThePathAtFault)
 {
-  mSees = false;
+  mReachesOthers = false;
   mEngineSuspicions.Ask(mEngine);
   Round(Word::kNone, Word::kAnswer);
   EXPECT_FALSE(mLost);
@@ -248,7 +248,7 @@
 
 TEST_F(EngineSuspicionsFromTwoPlaces, ABlindNodeNeedsTheWordOfTwoPeers)
 {
-  mSees = false;
+  mReachesOthers = false;
   mEngineSuspicions.Ask(mEngine);
   EXPECT_EQ(Round(Word::kNone, Word::kNone), "here p1 ");
   EXPECT_FALSE(mLost);
@@ -258,7 +258,7 @@
 
 TEST_F(EngineSuspicionsFromTwoPlaces, ANodeThatKnowsThatItIsBlindAsksTwoPeersAtOnce)
 {
-  mSees = false;
+  mReachesOthers = false;
   mBlind = true;
   mEngineSuspicions.Ask(mEngine);
   EXPECT_EQ(Round(Word::kNone, Word::kNone), "p1 p2 ");
@@ -268,7 +268,7 @@
 /// Guards against peers that are cut as well, frozen or slow, and whose silence counts as a word.
 TEST_F(EngineSuspicionsFromTwoPlaces, APlaceThatWasNotHeardSaysNothing)
 {
-  mSees = false;
+  mReachesOthers = false;
   mEngineSuspicions.Ask(mEngine);
   EXPECT_EQ(Round(Word::kNone, Word::kUnheard), "here p1 ");
   EXPECT_EQ(Round(Word::kNone, Word::kUnheard), "here p2 ");
@@ -293,13 +293,13 @@
 TEST_F(EngineSuspicionsFromTwoPlaces, PeersOfAnOlderVersionAreNotAskedAndABlindNodeDecidesNothing)
 {
   mPeers.clear();
-  mSees = false;
+  mReachesOthers = false;
   mEngineSuspicions.Ask(mEngine);
   for (int i = 0; i < 3; ++i) {
     EXPECT_EQ(Round(Word::kNone, Word::kNone), "here ");
   }
   EXPECT_FALSE(mLost);
-  mSees = true;
+  mReachesOthers = true;
   mEngineSuspicions.Ask(mEngine);
   for (int i = 0; i < 3; ++i) {
     Round(Word::kNone, Word::kNone);
@@ -352,7 +352,7 @@
   EXPECT_TRUE(mEngineSuspicions.IsLost("a"));
   EXPECT_FALSE(mEngineSuspicions.HasExited("a"));
   mEngineSuspicions.Forget("a");
-  mSees = false;
+  mReachesOthers = false;
   mEngineSuspicions.Ask(mEngine);
   Round(Word::kRefused, Word::kNone);
   Round(Word::kRefused, Word::kNone);
--- a/src/pepperbay/coordinator/peer_book.cpp
+++ b/src/pepperbay/coordinator/peer_book.cpp
@@ -104,7 +104,7 @@
 {
   for (auto& [name, peer] : mPeers) {
     if (aShortIds.count(ShortId(name)) != 0) {
-      peer.mToldUnreached = aNow;
+      peer.mReportedUnreached = aNow;
     }
   }
 }
@@ -112,7 +112,8 @@
 bool
 PeerBook::Unreached(const KnownPeer& aPeer, TimePoint aNow) const
 {
-  const bool told = aPeer.mToldUnreached != TimePoint{} && aNow - aPeer.mToldUnreached < mSilence;
+  const bool told =
+    aPeer.mReportedUnreached != TimePoint{} && aNow - aPeer.mReportedUnreached < mSilence;
   return Alive(aPeer, aNow) ? aPeer.mBeat.unreached() : told;
 }
 
--- a/src/pepperbay/coordinator/peer_book.hpp
+++ b/src/pepperbay/coordinator/peer_book.hpp
@@ -22,8 +22,8 @@
   std::string mDeskAddress;   ///< where its place desk hears others
   std::string mTunnelAddress; ///< where it carries connections to engines; empty: it does not
   std::string mTunnelKey;
-  TimePoint mToldUnreached{}; ///< another node has last said that it reaches no engine
-  TimePoint mHeard{};         ///< receipt of its last heartbeat; the zero time when there was none
+  TimePoint mReportedUnreached{}; ///< another node has last said that it reaches no engine
+  TimePoint mHeard{}; ///< receipt of its last heartbeat; the zero time when there was none
   /// Receipt of its last heartbeat that asked for an answer; the zero time when there was none.
   TimePoint mWrote{};
   int mCpuPermille = 0;
--- a/src/pepperbay/coordinator/sight_looks.cpp
+++ b/src/pepperbay/coordinator/reachability_probes.cpp
@@ -1,16 +1,16 @@
-#include "sight_looks.hpp"
+#include "reachability_probes.hpp"
 
 #include <utility>
 
 namespace pepperbay {
 
-SightLooks::SightLooks(SightLooksHooks aHooks)
+ReachabilityProbes::ReachabilityProbes(ReachabilityProbesHooks aHooks)
   : mHooks(std::move(aHooks))
 {
 }
 
 void
-SightLooks::Find(const EngineRecord& aNotThis, Done aDone)
+ReachabilityProbes::Find(const EngineRecord& aNotThis, Done aDone)
 {
   mWaiting.push_back({ aNotThis, std::move(aDone) });
   if (!mAsking) {
@@ -19,7 +19,7 @@
 }
 
 void
-SightLooks::AskNext()
+ReachabilityProbes::AskNext()
 {
   std::vector<Waiting> waiting = std::exchange(mWaiting, {});
   const EngineRecord* engine = mHooks.mPick(waiting.front().mNotThis);
--- a/src/pepperbay/coordinator/sight_looks.hpp
+++ b/src/pepperbay/coordinator/reachability_probes.hpp
@@ -9,7 +9,7 @@
 
 namespace pepperbay {
 
-struct SightLooksHooks
+struct ReachabilityProbesHooks
 {
   /// An engine to ask that is well as far as is known, and another than this one; null: none.
   std::function<const EngineRecord*(const EngineRecord& aNotThis)> mPick;
@@ -24,12 +24,12 @@
 /// @code
 /// looks.Find(engine, [](bool aSees) { if (aSees) { /* the engine is gone, not this node */ } });
 /// @endcode
-class SightLooks
+class ReachabilityProbes
 {
 public:
-  using Done = std::function<void(bool aSees)>;
+  using Done = std::function<void(bool aReachesOthers)>;
 
-  explicit SightLooks(SightLooksHooks aHooks);
+  explicit ReachabilityProbes(ReachabilityProbesHooks aHooks);
 
   /// @param aNotThis has just not answered
   /// @param aDone called once, perhaps before this returns
@@ -44,7 +44,7 @@
 
   void AskNext();
 
-  SightLooksHooks mHooks;
+  ReachabilityProbesHooks mHooks;
   std::vector<Waiting> mWaiting; ///< for the next question
   bool mAsking = false;
 };
--- a/src/pepperbay/coordinator/sight_looks_test.cpp
+++ b/src/pepperbay/coordinator/reachability_probes_test.cpp
@@ -1,4 +1,4 @@
-#include "sight_looks.hpp"
+#include "reachability_probes.hpp"
 
 #include <gtest/gtest.h>
 
@@ -16,9 +16,9 @@
 class SightLooksTest : public testing::Test
 {
 protected:
-  SightLooksHooks Hooks()
+  ReachabilityProbesHooks Hooks()
   {
-    SightLooksHooks hooks;
+    ReachabilityProbesHooks hooks;
     hooks.mPick = [this](const EngineRecord&) { return mOther ? &*mOther : nullptr; };
     hooks.mAsk = [this](const EngineRecord&, std::function<void(bool)> aDone) {
       mAsked.push_back(std::move(aDone));
@@ -28,14 +28,15 @@
 
   void Find(const std::string& aEngine)
   {
-    mLooks.Find(Engine(aEngine),
-                [this, aEngine](bool aSees) { mFound += aEngine + (aSees ? "+" : "-"); });
+    mProbes.Find(Engine(aEngine), [this, aEngine](bool aReachesOthers) {
+      mFound += aEngine + (aReachesOthers ? "+" : "-");
+    });
   }
 
   std::optional<EngineRecord> mOther = Engine("other");
   std::vector<std::function<void(bool)>> mAsked;
   std::string mFound;
-  SightLooks mLooks{ Hooks() };
+  ReachabilityProbes mProbes{ Hooks() };
 };
 
 /// Guards against an engine that is called lost by an answer from before the cut.
--- a/src/pepperbay/edge/edge_metrics.cpp
+++ b/src/pepperbay/edge/edge_metrics.cpp
@@ -136,7 +136,8 @@
     Counter(
       "store_restored_total", "Logs that came back from an older copy", control.mStoreRestored),
     Counter("bad_suspect_records_total", "Not understood", control.mBadSuspects),
-    Gauge("held_requests", "Of these, held back", static_cast<double>(control.mHeldRequests)),
+    Gauge(
+      "held_requests", "Of these, held back", static_cast<double>(control.mQuarantinedRequests)),
     Gauge("limited_engines",
           "Engines that name a limit, as this node has been told",
           static_cast<double>(relay.mLimitedEngines)),
@@ -182,9 +183,11 @@
     Counter("bad_configurations_total", "Not understood", control.mBadConfigurations),
     Counter("bad_registrations_total", "Name no engine", control.mBadRegistrations),
     Counter("engine_restarts_total", "Engines that started again", control.mRestarts),
-    Counter("former_starts_total", "Words of replaced starts, not taken", control.mFormerStarts),
+    Counter(
+      "former_starts_total", "Words of replaced starts, not taken", control.mStaleIncarnations),
     Counter("feeds_total", "Records of the store passed on by a delegate", control.mFeeds),
-    Counter("looks_total", "Reads of the store as what others told was too old", control.mLooks),
+    Counter(
+      "looks_total", "Reads of the store as what others told was too old", control.mDirectReads),
     Counter("bad_messages_total", "Of peers, not understood", control.mBadMessages),
     Gauge("configuration_version",
           "That requests go by",
