--- a/cmake/Layers.cmake
+++ b/cmake/Layers.cmake
@@ -70,7 +70,7 @@
                                       coordinator_reach.cpp engine_calls.cpp engine_suspicions.cpp freshness_book.cpp
                                       coordinator_logs.cpp coordinator_rate_leases.cpp log_reads.cpp news_book.cpp
                                       node_tree.cpp peer_book.cpp plan_builder.cpp
-                                      rate_leases.cpp reachability_probes.cpp suspect_keeper.cpp
+                                      rate_leases.cpp reachability_probes.cpp quarantine_manager.cpp
                   TESTS coordinator_test.cpp coordinator_tree_test.cpp coordinator_freshness_test.cpp coordinator_readers_test.cpp
                         coordinator_messages_test.cpp
                         coordinator_registrations_test.cpp coordinator_restored_test.cpp
--- a/include/pepperbay/coordinator/coordinator.hpp
+++ b/include/pepperbay/coordinator/coordinator.hpp
@@ -170,7 +170,7 @@
   /// An engine ended that had a request of this node.
   void OnEngineEnded(const RequestKey& aRequest, const EngineEnd& aEnd);
   /// An engine ran a request to its end under which others have ended.
-  void OnRanWhole(const RequestKey& aRequest);
+  void OnRanToCompletion(const RequestKey& aRequest);
   /// An operator lets a request run again. @return whether anything was known of it
   bool Lift(const RequestKey& aRequest);
   /// Requests in progress, by engine: this node's own and those that it found places for.
--- a/scripts/mutants/restored.sh
+++ b/scripts/mutants/restored.sh
@@ -30,5 +30,5 @@
   $restored '*AnOlderConfiguration*'
 mutant "nodes' records are not written again" $s/coordinator/coordinator.cpp \
   's/mRecordWritten = false; .*/;/' $restored '*NodesWriteAgain*'
-mutant "requests held back are not written again" $s/coordinator/suspect_keeper.hpp \
+mutant "requests held back are not written again" $s/coordinator/quarantine_manager.hpp \
   's/\{ mStored.clear\(\); \}/{}/' $restored '*NodesWriteAgain*'
--- a/scripts/mutants/suspects.sh
+++ b/scripts/mutants/suspects.sh
@@ -16,23 +16,23 @@
   's/    MakeRoom\(\);/    ;/' quarantine_crash_book_test '*BoundedNumber*'
 mutant "the caller is no part of a request's key" $quarantine/request_key.cpp \
   's/return \{ Hash64\(aCustomer\)/return { Hash64(aCustomer.substr(0, 0))/' quarantine_request_key_test '*KeepsCallersApart*'
-mutant "ends are not told" $coordinator/suspect_keeper.cpp \
-  's/  mToTell\[aKey\] = mOptions.mTellTimes;/  ;/' $suspects '*AddUpEverywhere*'
-mutant "ends are told once" $coordinator/suspect_keeper.hpp \
-  's/int mTellTimes = 3/int mTellTimes = 1/' $suspects '*ALostMessage*'
-mutant "records are not written" $coordinator/suspect_keeper.cpp \
-  's/return mOwn.count\(aKey\) != 0 .*/return false;/' $suspects '*StartsLater*'
-mutant "only observers write records" $coordinator/suspect_keeper.cpp \
+mutant "ends are not told" $coordinator/quarantine_manager.cpp \
+  's/  mToSend\[aKey\] = mOptions.mSendCount;/  ;/' $suspects '*AddUpEverywhere*'
+mutant "ends are told once" $coordinator/quarantine_manager.hpp \
+  's/int mSendCount = 3/int mSendCount = 1/' $suspects '*ALostMessage*'
+mutant "records are not written" $coordinator/quarantine_manager.cpp \
+  's/return mObservedHere.count\(aKey\) != 0 .*/return false;/' $suspects '*StartsLater*'
+mutant "only observers write records" $coordinator/quarantine_manager.cpp \
   's/\(aHoldsLease \&\& waited\)/(aHoldsLease \&\& waited \&\& false)/' $suspects '*TheHolderWrites*'
 mutant "records of the nodes' log are not read" $coordinator/coordinator_peers.cpp \
   's/mSuspects.OnRecord\(aRecord.mKey, aRecord.mValue\);/;/' $suspects '*ThroughTheStore*'
-mutant "writes have no rate" $coordinator/suspect_keeper.hpp \
-  's/mWriteEvery = std::chrono::milliseconds\(100\)/mWriteEvery{ 0 }/' $suspects '*BoundedRate*'
-mutant "failed writes are made again at once" $coordinator/suspect_keeper.cpp \
+mutant "writes have no rate" $coordinator/quarantine_manager.hpp \
+  's/mWriteInterval = std::chrono::milliseconds\(100\)/mWriteEvery{ 0 }/' $suspects '*BoundedRate*'
+mutant "failed writes are made again at once" $coordinator/quarantine_manager.cpp \
   's/done.mDue = Now\(\) \+ done.mPause;/done.mDue = Now();/' $suspects '*OnceTheStoreIsBack*'
-mutant "a run to the end is not told" $coordinator/suspect_keeper.cpp \
+mutant "a run to the end is not told" $coordinator/quarantine_manager.cpp \
   's/request.set_cleared\(true\);/request.set_cleared(false);/' $suspects '*WhatTheStoreDoesNotHave*'
-mutant "what was cleared is taken up again" $coordinator/suspect_keeper.cpp \
+mutant "what was cleared is taken up again" $coordinator/quarantine_manager.cpp \
   's/it->second.mEngines.count\(aEngine\) != 0;/aEngine == 0;/' $suspects '*NotTakenUpAgain*'
 mutant "a living engine counts as ended" $relay/ending_probe.cpp \
   's/if \(aError == asio::error::connection_refused\)/if (true)/' relay_relay_suspects_test '*AndLives*'
@@ -63,5 +63,5 @@
   's/  if \(head\) \{/  if (false) {/' relay_relay_suspects_test '*WithItsStreams*'
 mutant "a head that refuses connections is not told" $relay/exchange_suspect.cpp \
   's/if \(aEnd.mGone \&\& .*/if (false) {/' relay_relay_suspects_test '*RefusesConnections*'
-mutant "what holds nothing back is passed on again and again" $coordinator/suspect_keeper.cpp \
-  's/mBook.HeldUntil\(key\) > Now\(\) \? mOptions.mTellTimes : 1;/mOptions.mTellTimes;/' $suspects '*PassedOnOnce*'
+mutant "what holds nothing back is passed on again and again" $coordinator/quarantine_manager.cpp \
+  's/mCrashes.HeldUntil\(key\) > Now\(\) \? mOptions.mSendCount : 1;/mOptions.mSendCount;/' $suspects '*PassedOnOnce*'
--- a/src/pepperbay/coordinator/coordinator.cpp
+++ b/src/pepperbay/coordinator/coordinator.cpp
@@ -67,15 +67,16 @@
 }
 
 /// Nodes let a request that is held back for a moment through one after the other.
-constexpr std::chrono::milliseconds kMostHoldSpread{ 2000 };
+constexpr std::chrono::milliseconds kMaxQuarantineSpread{ 2000 };
 
-SuspectKeeperOptions
-SuspectOptionsOf(const CoordinatorOptions& aOptions)
+QuarantineManagerOptions
+QuarantineOptionsOf(const CoordinatorOptions& aOptions)
 {
-  SuspectKeeperOptions options;
+  QuarantineManagerOptions options;
   options.mNode = aOptions.mNode;
-  const auto part = Hash64(aOptions.mNode) % static_cast<std::uint64_t>(kMostHoldSpread.count());
-  options.mBook.mSpread = std::chrono::milliseconds(part);
+  const auto part =
+    Hash64(aOptions.mNode) % static_cast<std::uint64_t>(kMaxQuarantineSpread.count());
+  options.mCrashes.mSpread = std::chrono::milliseconds(part);
   return options;
 }
 
@@ -148,7 +149,7 @@
   , mEngineSuspicions(SuspicionsOptionsOf(mOptions), SuspicionsHooks())
   , mPeers(mOptions.mNode, mOptions.mPeerSilence)
   , mFreshness(mOptions.mNode, mOptions.mIncarnation)
-  , mSuspects(SuspectOptionsOf(mOptions),
+  , mSuspects(QuarantineOptionsOf(mOptions),
               { mHooks.mNow,
                 [this](const std::string& aKey,
                        const std::string& aValue,
@@ -345,7 +346,7 @@
   const TimePoint now = Now();
   const bool changed = mChanged || mDirectory.Revision() != mPublishedRevision;
   const bool build = changed && now - mBuilt >= kBuildEvery;
-  const bool suspects = mSuspects.HeldRevision() != mPublishedHeld;
+  const bool suspects = mSuspects.QuarantineRevision() != mPublishedQuarantine;
   if (!build && !suspects && mPlan && now < mPublishDue) {
     return;
   }
@@ -377,17 +378,17 @@
 void
 Coordinator::Impl::PublishSuspects()
 {
-  const CrashBook& book = mSuspects.Book();
-  mPublishedHeld = mSuspects.HeldRevision();
-  if (mSuspectRequests && book.Revision() == mPublishedSuspects) {
+  const CrashBook& crashes = mSuspects.Crashes();
+  mPublishedQuarantine = mSuspects.QuarantineRevision();
+  if (mSuspectRequests && crashes.Revision() == mPublishedSuspects) {
     return;
   }
-  mPublishedSuspects = book.Revision();
-  mSuspectRequests = std::make_shared<SuspectRequests>(book.Suspects());
+  mPublishedSuspects = crashes.Revision();
+  mSuspectRequests = std::make_shared<SuspectRequests>(crashes.Suspects());
 }
 
 std::uint64_t
-Coordinator::Impl::HeldRequests() const
+Coordinator::Impl::QuarantinedRequests() const
 {
   if (!mSuspectRequests) {
     return 0;
@@ -443,9 +444,9 @@
 }
 
 void
-Coordinator::OnRanWhole(const RequestKey& aRequest)
+Coordinator::OnRanToCompletion(const RequestKey& aRequest)
 {
-  mImpl->mSuspects.OnRanWhole(aRequest);
+  mImpl->mSuspects.OnRanToCompletion(aRequest);
 }
 
 bool
@@ -498,8 +499,8 @@
 {
   mImpl->mCounters.mAsks = mImpl->mEngineSuspicions.Asked();
   mImpl->mCounters.mUndecided = mImpl->mEngineSuspicions.Undecided();
-  mImpl->mCounters.mSuspectRequests = mImpl->mSuspects.Book().Size();
-  mImpl->mCounters.mQuarantinedRequests = mImpl->HeldRequests();
+  mImpl->mCounters.mSuspectRequests = mImpl->mSuspects.Crashes().Size();
+  mImpl->mCounters.mQuarantinedRequests = mImpl->QuarantinedRequests();
   mImpl->mCounters.mBadSuspects = mImpl->mSuspects.BadRecords();
   return mImpl->mCounters;
 }
--- a/src/pepperbay/coordinator/coordinator_dump.cpp
+++ b/src/pepperbay/coordinator/coordinator_dump.cpp
@@ -63,12 +63,12 @@
                           { "reads", mReads.Reads(log) } };
   }
   Json held = Json::array();
-  for (const auto& it : mSuspects.Book().Keys()) {
-    const TimePoint until = mSuspects.Book().HeldUntil(it);
+  for (const auto& it : mSuspects.Crashes().Keys()) {
+    const TimePoint until = mSuspects.Crashes().HeldUntil(it);
     if (until > Now()) {
       held.push_back({ { "key", ToString(it) },
-                       { "engines", mSuspects.Book().Ends(it).size() },
-                       { "score", mSuspects.Book().Charge(it) },
+                       { "engines", mSuspects.Crashes().Ends(it).size() },
+                       { "score", mSuspects.Crashes().Charge(it) },
                        { "for_ms", ToMs(until - Now()).count() } });
     }
   }
@@ -126,7 +126,7 @@
                       { "lost_engines", lost },
                       { "limits", limits },
                       { "counts_for", counts },
-                      { "suspect_requests", mSuspects.Book().Size() },
+                      { "suspect_requests", mSuspects.Crashes().Size() },
                       { "held_requests", held },
                       { "models", models },
                       { "replicas", replicas },
--- a/src/pepperbay/coordinator/coordinator_impl.hpp
+++ b/src/pepperbay/coordinator/coordinator_impl.hpp
@@ -12,9 +12,9 @@
 #include "peer_book.hpp"
 #include "pepperbay/coordinator/coordinator.hpp"
 #include "plan_builder.hpp"
+#include "quarantine_manager.hpp"
 #include "reachability_probes.hpp"
 #include "round_pace.hpp"
-#include "suspect_keeper.hpp"
 
 namespace pepperbay {
 
@@ -164,7 +164,7 @@
   /// Make what traffic knows of suspect requests anew where the book has changed.
   void PublishSuspects();
   /// @return how many requests are held back now.
-  std::uint64_t HeldRequests() const;
+  std::uint64_t QuarantinedRequests() const;
   /// The parts of a plan that change without the replicas.
   void FillPlan(TrafficPlan* aPlan);
   bool MayOrder() const;
@@ -229,7 +229,7 @@
   EngineSuspicions mEngineSuspicions;
   PeerBook mPeers;
   FreshnessBook mFreshness;
-  SuspectKeeper mSuspects;
+  QuarantineManager mSuspects;
   NodeTree mTree;
   LogReads mReads;
   std::optional<TimePoint> mStoreLostSince;
@@ -263,8 +263,8 @@
   std::uint64_t mShortIdsOf = 0;                            ///< revision that they are of
   std::uint64_t mPlannedFence = 0;
   std::uint64_t mPublishedRevision = 0;
-  std::uint64_t mPublishedSuspects = 0; ///< revision of the book that the plan goes by
-  std::uint64_t mPublishedHeld = 0;     ///< the same for what is held back, which is told at once
+  std::uint64_t mPublishedSuspects = 0;   ///< revision of the book that the plan goes by
+  std::uint64_t mPublishedQuarantine = 0; ///< the same for what is held back, which is told at once
   std::shared_ptr<const SuspectRequests> mSuspectRequests; ///< as the plan has them
   std::shared_ptr<const TrafficPlan> mPlan;                ///< the last that was published
   bool mChanged = true;
--- a/src/pepperbay/coordinator/coordinator_peers.cpp
+++ b/src/pepperbay/coordinator/coordinator_peers.cpp
@@ -26,7 +26,7 @@
 void
 Coordinator::Impl::OnNode(const KeyedRecord& aRecord)
 {
-  if (SuspectKeeper::IsRecord(aRecord.mKey)) {
+  if (QuarantineManager::IsRecord(aRecord.mKey)) {
     mSuspects.OnRecord(aRecord.mKey, aRecord.mValue);
     return;
   }
@@ -139,7 +139,7 @@
       return;
     case proto::PeerMessage::kSuspects:
       // Whoever told it has told its delegates; they tell the nodes that rely on them.
-      mSuspects.OnNews(message.suspects(), mTree.IsUpper());
+      mSuspects.OnUpdate(message.suspects(), mTree.IsUpper());
       return;
     case proto::PeerMessage::BODY_NOT_SET:
       ++mCounters.mBadMessages; // of a newer version
--- a/src/pepperbay/coordinator/coordinator_suspects_test.cpp
+++ b/src/pepperbay/coordinator/coordinator_suspects_test.cpp
@@ -192,7 +192,7 @@
   Run(seconds(1));
   ASSERT_TRUE(Quarantines(mNodes[2]));
   ASSERT_EQ(Records(), 1);
-  mNodes[1].mCoordinator->OnRanWhole(kKey);
+  mNodes[1].mCoordinator->OnRanToCompletion(kKey);
   Run(seconds(2));
   for (const auto& it : mNodes) {
     EXPECT_EQ(Of(it).mScore, 0) << it.mName;
@@ -211,7 +211,7 @@
   Run(seconds(1));
   ASSERT_EQ(Of(mNodes[2]).mScore, 2);
   ASSERT_EQ(Records(), 0);
-  mNodes[1].mCoordinator->OnRanWhole(kKey);
+  mNodes[1].mCoordinator->OnRanToCompletion(kKey);
   Run(seconds(2));
   for (const auto& it : mNodes) {
     EXPECT_EQ(Of(it).mScore, 0) << it.mName;
--- a/src/pepperbay/coordinator/news_book.cpp
+++ b/src/pepperbay/coordinator/news_book.cpp
@@ -10,7 +10,7 @@
 /// Removals kept for those who missed them; a node that is further behind is told everything.
 constexpr std::size_t kMostGone = 256;
 /// Changes in one message: at some 80 bytes each well within one datagram.
-constexpr std::size_t kMostInMessage = 400;
+constexpr std::size_t kMaxInMessage = 400;
 
 Duration
 FromNs(std::uint64_t aNs)
@@ -139,8 +139,8 @@
   changes.set_fence(mFence);
   changes.set_from(from);
   changes.set_to(mChange);
-  if (changed.size() > kMostInMessage) {
-    changed.resize(kMostInMessage);
+  if (changed.size() > kMaxInMessage) {
+    changed.resize(kMaxInMessage);
     changes.set_to(changed.back()->change());
   }
   for (const auto* it : changed) {
--- a/src/pepperbay/coordinator/suspect_keeper.cpp
+++ b/src/pepperbay/coordinator/quarantine_manager.cpp
@@ -1,4 +1,4 @@
-#include "suspect_keeper.hpp"
+#include "quarantine_manager.hpp"
 
 #include <algorithm>
 #include <utility>
@@ -8,7 +8,7 @@
 
 constexpr const char* kRecordPrefix = "held/";
 /// Requests in one message: a datagram holds 64 kB, and one request takes 300 bytes at most.
-constexpr int kMostInMessage = 64;
+constexpr int kMaxInMessage = 64;
 constexpr std::chrono::seconds kExpireEvery{ 1 };
 
 RequestKey
@@ -39,52 +39,53 @@
 
 } // namespace
 
-SuspectKeeper::SuspectKeeper(SuspectKeeperOptions aOptions, SuspectKeeperHooks aHooks)
+QuarantineManager::QuarantineManager(QuarantineManagerOptions aOptions,
+                                     QuarantineManagerHooks aHooks)
   : mOptions(std::move(aOptions))
   , mHooks(std::move(aHooks))
-  , mBook(mOptions.mBook)
+  , mCrashes(mOptions.mCrashes)
 {
 }
 
 void
-SuspectKeeper::OnEnd(const RequestKey& aKey, const EngineEnd& aEnd)
+QuarantineManager::OnEnd(const RequestKey& aKey, const EngineEnd& aEnd)
 {
-  const TimePoint before = mBook.HeldUntil(aKey);
-  if (IsCleared(aKey, aEnd.mEngine) || !mBook.Add(aKey, aEnd, Now())) {
+  const TimePoint before = mCrashes.HeldUntil(aKey);
+  if (IsCleared(aKey, aEnd.mEngine) || !mCrashes.Add(aKey, aEnd, Now())) {
     return;
   }
-  mOwn.insert(aKey);
-  OnMore(aKey, before, "own");
-  mToTell[aKey] = mOptions.mTellTimes;
-  mTellDue = Now();
+  mObservedHere.insert(aKey);
+  OnScoreIncreased(aKey, before, "own");
+  mToSend[aKey] = mOptions.mSendCount;
+  mSendDue = Now();
 }
 
 void
-SuspectKeeper::OnRanWhole(const RequestKey& aKey)
+QuarantineManager::OnRanToCompletion(const RequestKey& aKey)
 {
   if (Forget(aKey, "ran_whole")) {
-    mClearedTold[aKey] = mOptions.mTellTimes;
-    mTellDue = Now();
+    mClearsToSend[aKey] = mOptions.mSendCount;
+    mSendDue = Now();
   }
 }
 
 bool
-SuspectKeeper::Lift(const RequestKey& aKey)
+QuarantineManager::Lift(const RequestKey& aKey)
 {
   if (!Forget(aKey, "lifted")) {
     return false;
   }
-  mClearedTold[aKey] = mOptions.mTellTimes;
-  mTellDue = Now();
+  mClearsToSend[aKey] = mOptions.mSendCount;
+  mSendDue = Now();
   return true;
 }
 
 bool
-SuspectKeeper::Forget(const RequestKey& aKey, const char* aReason)
+QuarantineManager::Forget(const RequestKey& aKey, const char* aReason)
 {
-  const bool held = mBook.HeldUntil(aKey) > Now();
-  const auto ends = mBook.Ends(aKey);
-  if (!mBook.Clear(aKey)) {
+  const bool quarantined = mCrashes.HeldUntil(aKey) > Now();
+  const auto ends = mCrashes.Ends(aKey);
+  if (!mCrashes.Clear(aKey)) {
     return false;
   }
   Cleared& cleared = mCleared[aKey];
@@ -92,11 +93,11 @@
   for (const auto& it : ends) {
     cleared.mEngines.insert(it.mEngine);
   }
-  if (held) {
-    ++mHeldRevision;
+  if (quarantined) {
+    ++mQuarantineRevision;
     mHooks.mLog("request_released", { { "key", ToString(aKey) }, { "reason", aReason } });
   }
-  DropNotes(aKey);
+  DropState(aKey);
   if (mStored.count(aKey) != 0) {
     mToDrop.insert(aKey);
   }
@@ -104,27 +105,27 @@
 }
 
 bool
-SuspectKeeper::IsCleared(const RequestKey& aKey, std::uint64_t aEngine) const
+QuarantineManager::IsCleared(const RequestKey& aKey, std::uint64_t aEngine) const
 {
   const auto it = mCleared.find(aKey);
   return it != mCleared.end() && it->second.mEngines.count(aEngine) != 0;
 }
 
 void
-SuspectKeeper::DropNotes(const RequestKey& aKey)
+QuarantineManager::DropState(const RequestKey& aKey)
 {
-  mToTell.erase(aKey);
-  mOwn.erase(aKey);
-  mLasting.erase(aKey);
+  mToSend.erase(aKey);
+  mObservedHere.erase(aKey);
+  mToPersist.erase(aKey);
   mWrites.erase(aKey);
 }
 
 bool
-SuspectKeeper::Take(const proto::SuspectRequest& aRequest, const char* aBy)
+QuarantineManager::AddEnds(const proto::SuspectRequest& aRequest, const char* aSource)
 {
   const RequestKey key = KeyOf(aRequest);
   const TimePoint now = Now();
-  const TimePoint before = mBook.HeldUntil(key);
+  const TimePoint before = mCrashes.HeldUntil(key);
   bool isNew = false;
   for (const auto& it : aRequest.ends()) {
     const auto suspicion = SuspicionOf(it.suspicion());
@@ -134,27 +135,27 @@
     }
     const EngineEnd end{ it.engine(), *suspicion, now - std::chrono::milliseconds(it.age_ms()) };
     if (!IsCleared(key, end.mEngine)) {
-      isNew = mBook.Add(key, end, now) || isNew;
+      isNew = mCrashes.Add(key, end, now) || isNew;
     }
   }
   if (isNew) {
-    OnMore(key, before, aBy);
+    OnScoreIncreased(key, before, aSource);
   }
   return isNew;
 }
 
 void
-SuspectKeeper::OnMore(const RequestKey& aKey, TimePoint aBefore, const char* aBy)
+QuarantineManager::OnScoreIncreased(const RequestKey& aKey, TimePoint aBefore, const char* aSource)
 {
-  if (mBook.Charge(aKey) >= mOptions.mBook.mHoldFrom) {
-    mLasting.emplace(aKey, Now());
+  if (mCrashes.Charge(aKey) >= mOptions.mCrashes.mHoldFrom) {
+    mToPersist.emplace(aKey, Now());
   }
-  const TimePoint until = mBook.HeldUntil(aKey);
+  const TimePoint until = mCrashes.HeldUntil(aKey);
   if (until <= aBefore) {
     return;
   }
-  ++mHeldRevision;
-  const auto ends = mBook.Ends(aKey);
+  ++mQuarantineRevision;
+  const auto ends = mCrashes.Ends(aKey);
   const auto last =
     std::max_element(ends.begin(), ends.end(), [](const auto& aLeft, const auto& aRight) {
       return aLeft.mAt < aRight.mAt;
@@ -162,40 +163,40 @@
   mHooks.mLog("request_held_back",
               { { "key", ToString(aKey) },
                 { "engines", std::to_string(ends.size()) },
-                { "score", std::to_string(mBook.Score(aKey)) },
+                { "score", std::to_string(mCrashes.Score(aKey)) },
                 { "last_end_age_ms", std::to_string(ToMs(Now() - last->mAt).count()) },
                 { "for_ms", std::to_string(ToMs(until - Now()).count()) },
-                { "by", aBy } });
+                { "by", aSource } });
 }
 
 void
-SuspectKeeper::OnNews(const proto::SuspectNews& aNews, bool aPassOn)
+QuarantineManager::OnUpdate(const proto::SuspectNews& aUpdate, bool aPassOn)
 {
-  for (const auto& it : aNews.requests()) {
+  for (const auto& it : aUpdate.requests()) {
     const RequestKey key = KeyOf(it);
     if (it.cleared()) {
       // Whoever cleared it drops the record of the store as well.
       const bool known = Forget(key, "cleared_by_peer");
       mToDrop.erase(key);
       if (known && aPassOn) {
-        mClearedTold[key] = mOptions.mTellTimes;
-        mTellDue = Now();
+        mClearsToSend[key] = mOptions.mSendCount;
+        mSendDue = Now();
       }
-    } else if (Take(it, "peer") && aPassOn) {
-      mToTell[key] = mBook.HeldUntil(key) > Now() ? mOptions.mTellTimes : 1;
-      mTellDue = Now();
+    } else if (AddEnds(it, "peer") && aPassOn) {
+      mToSend[key] = mCrashes.HeldUntil(key) > Now() ? mOptions.mSendCount : 1;
+      mSendDue = Now();
     }
   }
 }
 
 bool
-SuspectKeeper::IsRecord(const std::string& aLogKey)
+QuarantineManager::IsRecord(const std::string& aLogKey)
 {
   return aLogKey.rfind(kRecordPrefix, 0) == 0;
 }
 
 void
-SuspectKeeper::OnRecord(const std::string& aLogKey, const std::optional<std::string>& aValue)
+QuarantineManager::OnRecord(const std::string& aLogKey, const std::optional<std::string>& aValue)
 {
   if (!aValue) {
     for (auto it = mStored.begin(); it != mStored.end(); ++it) {
@@ -213,25 +214,25 @@
     ++mBadRecords;
     return;
   }
-  Take(request, "store");
+  AddEnds(request, "store");
   Stored& stored = mStored[KeyOf(request)];
   stored.mScore = 0;
   for (const auto& it : request.ends()) {
     stored.mScore += static_cast<int>(it.suspicion());
   }
   stored.mWriter = request.writer();
-  if (mBook.Score(KeyOf(request)) == 0) {
+  if (mCrashes.Score(KeyOf(request)) == 0) {
     mToDrop.insert(KeyOf(request)); // its writer had not heard that it was cleared
   }
 }
 
 proto::SuspectRequest
-SuspectKeeper::Describe(const RequestKey& aKey) const
+QuarantineManager::Describe(const RequestKey& aKey) const
 {
   proto::SuspectRequest request;
   request.set_caller(aKey.mCaller);
   request.set_content(aKey.mContent);
-  for (const auto& it : mBook.Ends(aKey)) {
+  for (const auto& it : mCrashes.Ends(aKey)) {
     auto* end = request.add_ends();
     end->set_engine(it.mEngine);
     end->set_suspicion(static_cast<std::uint32_t>(it.mSuspicion));
@@ -242,9 +243,9 @@
 }
 
 void
-SuspectKeeper::Tick(bool aHoldsLease)
+QuarantineManager::Tick(bool aHoldsLease)
 {
-  TellDue();
+  SendDue();
   WriteDue(aHoldsLease);
   if (Now() >= mExpireDue) {
     mExpireDue = Now() + kExpireEvery;
@@ -253,82 +254,82 @@
 }
 
 void
-SuspectKeeper::Expire(bool aHoldsLease)
+QuarantineManager::Expire(bool aHoldsLease)
 {
-  for (const auto& it : mBook.Expire(Now())) {
-    DropNotes(it);
+  for (const auto& it : mCrashes.Expire(Now())) {
+    DropState(it);
   }
   // The book makes room for more suspected requests as well.
-  for (auto it = mOwn.begin(); it != mOwn.end();) {
-    it = mBook.Score(*it) == 0 ? mOwn.erase(it) : std::next(it);
+  for (auto it = mObservedHere.begin(); it != mObservedHere.end();) {
+    it = mCrashes.Score(*it) == 0 ? mObservedHere.erase(it) : std::next(it);
   }
-  for (auto it = mLasting.begin(); it != mLasting.end();) {
+  for (auto it = mToPersist.begin(); it != mToPersist.end();) {
     const RequestKey key = (it++)->first;
-    if (mBook.Score(key) == 0) {
-      DropNotes(key);
+    if (mCrashes.Score(key) == 0) {
+      DropState(key);
     }
   }
   for (auto it = mCleared.begin(); it != mCleared.end();) {
-    const bool old = Now() - it->second.mAt >= mOptions.mRememberClear;
+    const bool old = Now() - it->second.mAt >= mOptions.mClearRetention;
     it = old ? mCleared.erase(it) : std::next(it);
   }
   for (const auto& [key, stored] : mStored) {
-    if (aHoldsLease && mBook.Score(key) == 0) {
+    if (aHoldsLease && mCrashes.Score(key) == 0) {
       mToDrop.insert(key);
     }
   }
 }
 
 void
-SuspectKeeper::TellDue()
+QuarantineManager::SendDue()
 {
-  if (Now() < mTellDue || (mToTell.empty() && mClearedTold.empty())) {
+  if (Now() < mSendDue || (mToSend.empty() && mClearsToSend.empty())) {
     return;
   }
-  mTellDue = Now() + mOptions.mTellEvery;
-  proto::SuspectNews news;
+  mSendDue = Now() + mOptions.mSendInterval;
+  proto::SuspectNews update;
   const auto add = [&](std::map<RequestKey, int>* aQueue, const auto& aDescribe) {
     for (auto it = aQueue->begin(); it != aQueue->end();) {
-      *news.add_requests() = aDescribe(it->first);
+      *update.add_requests() = aDescribe(it->first);
       it = --it->second <= 0 ? aQueue->erase(it) : std::next(it);
-      if (news.requests_size() >= kMostInMessage) {
-        mHooks.mTell(news);
-        news.Clear();
+      if (update.requests_size() >= kMaxInMessage) {
+        mHooks.mSend(update);
+        update.Clear();
       }
     }
   };
-  add(&mToTell, [this](const RequestKey& aKey) { return Describe(aKey); });
-  add(&mClearedTold, [](const RequestKey& aKey) {
+  add(&mToSend, [this](const RequestKey& aKey) { return Describe(aKey); });
+  add(&mClearsToSend, [](const RequestKey& aKey) {
     proto::SuspectRequest request;
     request.set_caller(aKey.mCaller);
     request.set_content(aKey.mContent);
     request.set_cleared(true);
     return request;
   });
-  if (news.requests_size() > 0) {
-    mHooks.mTell(news);
+  if (update.requests_size() > 0) {
+    mHooks.mSend(update);
   }
 }
 
 bool
-SuspectKeeper::NeedsWrite(const RequestKey& aKey, bool aHoldsLease) const
+QuarantineManager::NeedsWrite(const RequestKey& aKey, bool aHoldsLease) const
 {
-  if (mBook.Charge(aKey) < mOptions.mBook.mHoldFrom) {
+  if (mCrashes.Charge(aKey) < mOptions.mCrashes.mHoldFrom) {
     return false; // something else accounts for the ends by now
   }
-  const int score = mBook.Score(aKey);
+  const int score = mCrashes.Score(aKey);
   const auto stored = mStored.find(aKey);
   if (stored != mStored.end() && stored->second.mScore >= score) {
     return false;
   }
-  const bool waited = Now() - mLasting.at(aKey) >= mOptions.mHolderWritesAfter;
+  const bool waited = Now() - mToPersist.at(aKey) >= mOptions.mHolderWriteDelay;
   // Of two records that cross, the later may say less; its writer makes that good.
   const bool wrote = stored != mStored.end() && stored->second.mWriter == mOptions.mNode;
-  return mOwn.count(aKey) != 0 || wrote || (aHoldsLease && waited);
+  return mObservedHere.count(aKey) != 0 || wrote || (aHoldsLease && waited);
 }
 
 void
-SuspectKeeper::WriteDue(bool aHoldsLease)
+QuarantineManager::WriteDue(bool aHoldsLease)
 {
   if (Now() < mWriteDue) {
     return;
@@ -338,7 +339,7 @@
       return;
     }
   }
-  for (const auto& [key, since] : mLasting) {
+  for (const auto& [key, since] : mToPersist) {
     if (NeedsWrite(key, aHoldsLease)) {
       proto::SuspectRequest record = Describe(key);
       record.set_writer(mOptions.mNode);
@@ -350,21 +351,20 @@
 }
 
 bool
-SuspectKeeper::WriteOne(const RequestKey& aKey, const std::string& aValue)
+QuarantineManager::WriteOne(const RequestKey& aKey, const std::string& aValue)
 {
   Write& write = mWrites[aKey];
-  if (write.mUnderWay || Now() < write.mDue) {
+  if (write.mPending || Now() < write.mDue) {
     return false;
   }
-  write.mUnderWay = true;
-  mWriteDue = Now() + mOptions.mWriteEvery;
-  const int score = aValue.empty() ? 0 : mBook.Score(aKey);
+  write.mPending = true;
+  mWriteDue = Now() + mOptions.mWriteInterval;
+  const int score = aValue.empty() ? 0 : mCrashes.Score(aKey);
   mHooks.mPut(LogKeyOf(aKey), aValue, [this, aKey, score](const Result<void>& aResult) {
     Write& done = mWrites[aKey];
-    done.mUnderWay = false;
+    done.mPending = false;
     if (!aResult.has_value()) {
-      done.mPause =
-        std::clamp(2 * done.mPause, mOptions.mWriteAgainFirst, mOptions.mWriteAgainMost);
+      done.mPause = std::clamp(2 * done.mPause, mOptions.mMinWriteRetry, mOptions.mMaxWriteRetry);
       done.mDue = Now() + done.mPause;
       mHooks.mLog("request_record_failed",
                   { { "key", ToString(aKey) }, { "error", ToString(aResult.error()) } });
@@ -376,7 +376,7 @@
 }
 
 void
-SuspectKeeper::OnWritten(const RequestKey& aKey, int aScore)
+QuarantineManager::OnWritten(const RequestKey& aKey, int aScore)
 {
   mWrites.erase(aKey);
   if (aScore == 0) {
@@ -387,7 +387,7 @@
   Stored& stored = mStored[aKey];
   stored.mScore = std::max(stored.mScore, aScore);
   stored.mWriter = mOptions.mNode;
-  if (mBook.Score(aKey) == 0) {
+  if (mCrashes.Score(aKey) == 0) {
     mToDrop.insert(aKey); // it was cleared while the record was on its way
   }
 }
--- a/src/pepperbay/coordinator/suspect_keeper.hpp
+++ b/src/pepperbay/coordinator/quarantine_manager.hpp
@@ -20,30 +20,30 @@
 
 namespace pepperbay {
 
-struct SuspectKeeperOptions
+struct QuarantineManagerOptions
 {
   std::string mNode;
-  CrashBookOptions mBook;
+  CrashBookOptions mCrashes;
   /// A message that is lost is made good by the next; after so many they all are, or the peer is
   /// away. What holds nothing back is passed on once: each crash of an engine brings some of that.
-  int mTellTimes = 3;
-  Duration mTellEvery = std::chrono::milliseconds(200);
+  int mSendCount = 3;
+  Duration mSendInterval = std::chrono::milliseconds(200);
   /// Shortest time between two writes of this node. A caller with many such requests must not use
   /// up the calls to the store that all nodes share.
-  Duration mWriteEvery = std::chrono::milliseconds(100);
+  Duration mWriteInterval = std::chrono::milliseconds(100);
   /// A write that failed is made again after the first of these, then after twice the time up to
   /// the second.
-  Duration mWriteAgainFirst = std::chrono::milliseconds(400);
-  Duration mWriteAgainMost = std::chrono::seconds(5);
+  Duration mMinWriteRetry = std::chrono::milliseconds(400);
+  Duration mMaxWriteRetry = std::chrono::seconds(5);
   /// Who saw an end writes it. If that node has ended as well, the holder of the lease does, after
   /// this.
-  Duration mHolderWritesAfter = std::chrono::seconds(1);
+  Duration mHolderWriteDelay = std::chrono::seconds(1);
   /// What a request was cleared of is kept for so long: nodes that have not heard go on telling it,
   /// and records of it are read late.
-  Duration mRememberClear = std::chrono::minutes(10);
+  Duration mClearRetention = std::chrono::minutes(10);
 };
 
-struct SuspectKeeperHooks
+struct QuarantineManagerHooks
 {
   NowFn mNow;
   /// Write a record of the nodes' log; without a value its key is dropped.
@@ -51,7 +51,7 @@
     void(const std::string& aKey, const std::string& aValue, std::function<void(Result<void>)>)>
     mPut;
   /// Tell the nodes that this one exchanges heartbeats with.
-  std::function<void(const proto::SuspectNews&)> mTell;
+  std::function<void(const proto::SuspectNews&)> mSend;
   std::function<void(const char* aEvent, const std::map<std::string, std::string>& aFields)> mLog;
 };
 
@@ -60,19 +60,19 @@
 /// keeper.OnNews(news, passOn);   // a peer did
 /// keeper.Tick(holdsLease);       // often
 /// @endcode
-class SuspectKeeper
+class QuarantineManager
 {
 public:
-  SuspectKeeper(SuspectKeeperOptions aOptions, SuspectKeeperHooks aHooks);
+  QuarantineManager(QuarantineManagerOptions aOptions, QuarantineManagerHooks aHooks);
 
   /// An engine ended that had a request of this node.
   void OnEnd(const RequestKey& aKey, const EngineEnd& aEnd);
   /// An engine ran the request to its end.
-  void OnRanWhole(const RequestKey& aKey);
+  void OnRanToCompletion(const RequestKey& aKey);
   /// An operator lets a request run again. @return whether it was known
   bool Lift(const RequestKey& aKey);
   /// @param aPassOn others hear of it by this node only
-  void OnNews(const proto::SuspectNews& aNews, bool aPassOn);
+  void OnUpdate(const proto::SuspectNews& aUpdate, bool aPassOn);
 
   /// @return whether a key of the nodes' log is one of these records, and not a node's.
   static bool IsRecord(const std::string& aLogKey);
@@ -83,9 +83,9 @@
   /// Do what is due.
   void Tick(bool aHoldsLease);
 
-  const CrashBook& Book() const { return mBook; }
+  const CrashBook& Crashes() const { return mCrashes; }
   /// Grows whenever a request is held back, for longer, or no more.
-  std::uint64_t HeldRevision() const { return mHeldRevision; }
+  std::uint64_t QuarantineRevision() const { return mQuarantineRevision; }
   /// Words of peers or records that could not be read.
   std::uint64_t BadRecords() const { return mBadRecords; }
 
@@ -104,24 +104,24 @@
   };
   struct Write
   {
-    bool mUnderWay = false;
+    bool mPending = false;
     TimePoint mDue{};
     Duration mPause{ 0 };
   };
 
   TimePoint Now() const { return mHooks.mNow(); }
-  /// Take ends into the book. @param aBy who says so, for the log. @return whether one was new
-  bool Take(const proto::SuspectRequest& aRequest, const char* aBy);
+  /// Take ends into the book. @param aSource who says so, for the log. @return whether one was new
+  bool AddEnds(const proto::SuspectRequest& aRequest, const char* aSource);
   bool Forget(const RequestKey& aKey, const char* aReason);
   /// @return whether an engine's end counts no more against a request.
   bool IsCleared(const RequestKey& aKey, std::uint64_t aEngine) const;
   /// Drop what is kept beside the book.
-  void DropNotes(const RequestKey& aKey);
+  void DropState(const RequestKey& aKey);
   /// The book has more of a request. @param aBefore until when it was held back before
-  void OnMore(const RequestKey& aKey, TimePoint aBefore, const char* aBy);
+  void OnScoreIncreased(const RequestKey& aKey, TimePoint aBefore, const char* aSource);
   void Expire(bool aHoldsLease);
   proto::SuspectRequest Describe(const RequestKey& aKey) const;
-  void TellDue();
+  void SendDue();
   bool NeedsWrite(const RequestKey& aKey, bool aHoldsLease) const;
   void WriteDue(bool aHoldsLease);
   /// @return whether the record was written or is on its way
@@ -129,23 +129,23 @@
   /// @param aScore of the record; 0 where it was dropped
   void OnWritten(const RequestKey& aKey, int aScore);
 
-  SuspectKeeperOptions mOptions;
-  SuspectKeeperHooks mHooks;
-  CrashBook mBook;
-  std::map<RequestKey, int> mToTell;      ///< requests, and how often they are told yet
-  std::map<RequestKey, int> mClearedTold; ///< the same for those that were cleared
+  QuarantineManagerOptions mOptions;
+  QuarantineManagerHooks mHooks;
+  CrashBook mCrashes;
+  std::map<RequestKey, int> mToSend;       ///< requests, and how often they are told yet
+  std::map<RequestKey, int> mClearsToSend; ///< the same for those that were cleared
   std::map<RequestKey, Cleared> mCleared;
-  std::set<RequestKey> mOwn; ///< this node saw an engine end under it
+  std::set<RequestKey> mObservedHere; ///< this node saw an engine end under it
   /// Requests that belong into the store, and since when that is known here.
-  std::map<RequestKey, TimePoint> mLasting;
+  std::map<RequestKey, TimePoint> mToPersist;
   std::map<RequestKey, Stored> mStored;
   std::set<RequestKey> mToDrop; ///< records to be dropped from the store
   std::map<RequestKey, Write> mWrites;
-  TimePoint mTellDue{};
+  TimePoint mSendDue{};
   TimePoint mWriteDue{};
   TimePoint mExpireDue{};
   std::uint64_t mBadRecords = 0;
-  std::uint64_t mHeldRevision = 0;
+  std::uint64_t mQuarantineRevision = 0;
 };
 
 } // namespace pepperbay
--- a/src/pepperbay/edge/edge_node.cpp
+++ b/src/pepperbay/edge/edge_node.cpp
@@ -307,7 +307,7 @@
       asio::post(mControl, [this, aRequest, aEnd] { mCoordinator->OnEngineEnded(aRequest, aEnd); });
     };
     hooks.mOnRanWhole = [this](const RequestKey& aRequest) {
-      asio::post(mControl, [this, aRequest] { mCoordinator->OnRanWhole(aRequest); });
+      asio::post(mControl, [this, aRequest] { mCoordinator->OnRanToCompletion(aRequest); });
     };
     if (!mSettings.mDesk.empty()) {
       hooks.mSendToDesk = [this](const std::string& aAddress, const std::string& aBytes) {
