--- a/src/pepperbay/coordinator/coordinator.cpp
+++ b/src/pepperbay/coordinator/coordinator.cpp
@@ -21,7 +21,7 @@
 constexpr std::chrono::milliseconds kMostStagger{ 120 };
 /// News of a holder that has been silent for this long is not used: the holder may be gone and the
 /// registrations have moved on.
-constexpr std::chrono::seconds kNewsLife{ 3 };
+constexpr std::chrono::seconds kUpdateLifetime{ 3 };
 
 Duration
 StaggerOf(const CoordinatorOptions& aOptions)
@@ -157,9 +157,9 @@
                   ++mCounters.mStoreCalls["nodes_put"];
                   mHooks.mPutNode(aKey, aValue, std::move(aDone));
                 },
-                [this](const proto::SuspectNews& aNews) {
+                [this](const proto::SuspectNews& aUpdate) {
                   proto::PeerMessage message = NewMessage();
-                  *message.mutable_suspects() = aNews;
+                  *message.mutable_suspects() = aUpdate;
                   SendToNeighbours(message);
                 },
                 mHooks.mLog })
@@ -312,7 +312,7 @@
 {
   aPlan->mOthersInFlight = OthersInFlight();
   aPlan->mProxyPeers = mProxyPeers;
-  aPlan->mNews = { mNews.Fence(), mNews.Change(), mNews.AsOf() };
+  aPlan->mNews = { mUpdates.Fence(), mUpdates.Change(), mUpdates.AsOf() };
   aPlan->mConfigurationAsOf = ConfigurationAsOf();
   aPlan->mConfigurationTaken = mConfigurationTaken;
   aPlan->mKeysValidUntil = ConfigurationAsOf() + mOptions.mBounds.mKeysTrusted;
@@ -362,12 +362,12 @@
   mChanged = false;
   mPublishedRevision = mDirectory.Revision();
   mBuilt = now;
-  static const std::map<std::string, proto::ReplicaNews> kNoNews;
+  static const std::map<std::string, proto::ReplicaNews> kNoUpdates;
   PlanSources sources;
   sources.mComplete = KnowsAll();
   sources.mRoutes = mRoutes;
   sources.mEngines = &mDirectory.Engines();
-  sources.mNews = now - mNews.AsOf() < kNewsLife ? &mNews.Replicas() : &kNoNews;
+  sources.mUpdates = now - mUpdates.AsOf() < kUpdateLifetime ? &mUpdates.Replicas() : &kNoUpdates;
   sources.mLost = [this](const std::string& aEngine) { return mEngineSuspicions.IsLost(aEngine); };
   auto plan = BuildPlan(sources);
   FillPlan(plan.get());
--- a/src/pepperbay/coordinator/coordinator_impl.hpp
+++ b/src/pepperbay/coordinator/coordinator_impl.hpp
@@ -7,7 +7,6 @@
 #include "freshness_book.hpp"
 #include "log_reads.hpp"
 #include "look_pause.hpp"
-#include "news_book.hpp"
 #include "node_tree.hpp"
 #include "peer_book.hpp"
 #include "pepperbay/coordinator/coordinator.hpp"
@@ -15,6 +14,7 @@
 #include "quarantine_manager.hpp"
 #include "reachability_probes.hpp"
 #include "round_pace.hpp"
+#include "update_tracker.hpp"
 
 namespace pepperbay {
 
@@ -92,12 +92,12 @@
   void TellHolder(const proto::Suspicions& aSuspicions);
   void OnSuspicions(const proto::Suspicions& aSuspicions);
   /// Ask a node for the news of replicas that are missing here.
-  void AskNews(const std::string& aNode);
-  void AnswerNewsRequest(const proto::PeerMessage& aMessage);
+  void RequestUpdates(const std::string& aNode);
+  void AnswerUpdateRequest(const proto::PeerMessage& aMessage);
   /// Take news of the holder and pass them on to the nodes that rely on this one.
-  void OnNews(const proto::PeerMessage& aMessage);
+  void OnUpdates(const proto::PeerMessage& aMessage);
   /// The holder's own changes, to the delegates.
-  void TellNewsChanges();
+  void SendUpdates();
   /// @return when the configuration was the newest, by the store or by a peer.
   TimePoint ConfigurationAsOf() const;
   /// @return when all that was in a log was known, by the store or by a peer.
@@ -156,9 +156,9 @@
   int InFlightAtFormerHead(const std::string& aGroup, std::uint64_t aEpoch) const;
   void SendOrder(const GroupOrder& aOrder, const std::string& aService);
   /// Note for the other nodes what has changed of one pool's replicas.
-  void NoteNews(const GroupPlanner& aPlanner, Duration aFormTime);
+  void RecordUpdates(const GroupPlanner& aPlanner, Duration aFormTime);
   /// Drop what is known of replicas that no pool has any more.
-  void ForgetNews();
+  void DropRemovedReplicas();
   void AskAsPlanned(const GroupPlanner& aPlanner);
   void Publish();
   /// Make what traffic knows of suspect requests anew where the book has changed.
@@ -242,14 +242,14 @@
   TimePoint mConfigurationTaken{}; ///< when this node took it in
   std::map<std::string, GroupPlanner> mPlanners; ///< by service
   RoundPace mPlanPace;
-  NewsBook mNews;
+  UpdateTracker mUpdates;
   /// What the last holder told of its replicas, until this one has planned once: its first round
   /// finds most of them as they were, and logs only what differs.
-  std::map<std::string, proto::ReplicaNews> mFormerNews;
+  std::map<std::string, proto::ReplicaNews> mFormerUpdates;
   /// The same, for the whole tenure: heads that are listed no more are named here only.
   std::map<std::string, proto::ReplicaNews> mFormerHeads;
-  std::uint64_t mNewsTold = 0; ///< the last change that was sent out
-  TimePoint mNewsAskDue{};
+  std::uint64_t mLastSentChange = 0; ///< the last change that was sent out
+  TimePoint mUpdateRequestDue{};
   std::unordered_map<std::string, int> mInFlight;
   EngineLimits mLimits; ///< as this node has been told
   RateLeaseBook mRateLeasesGiven;
--- a/src/pepperbay/coordinator/coordinator_peers.cpp
+++ b/src/pepperbay/coordinator/coordinator_peers.cpp
@@ -14,7 +14,7 @@
 constexpr std::chrono::milliseconds kFeedTime{ 180 };
 constexpr std::chrono::milliseconds kPassersTime{ 600 };
 /// News that were missed are asked for at most this often: half a heartbeat.
-constexpr std::chrono::milliseconds kAskNewsEvery{ 100 };
+constexpr std::chrono::milliseconds kUpdateRequestInterval{ 100 };
 
 std::uint64_t
 ToNs(Duration aDuration)
@@ -123,10 +123,10 @@
       OnBeat(message);
       return;
     case proto::PeerMessage::kNews:
-      OnNews(message);
+      OnUpdates(message);
       return;
     case proto::PeerMessage::kNewsRequest:
-      AnswerNewsRequest(message);
+      AnswerUpdateRequest(message);
       return;
     case proto::PeerMessage::kFeed:
       TakeFeed(message.feed());
@@ -161,54 +161,54 @@
   mLease.OnHint(beat.lease());
   OnRateLeasesAsked(aMessage);
   OnRateLeases(beat.rate_leases());
-  if (mNews.OnNewest(beat, now) && !MayOrder()) {
-    AskNews(aMessage.node());
+  if (mUpdates.OnNewest(beat, now) && !MayOrder()) {
+    RequestUpdates(aMessage.node());
   }
 }
 
 void
-Coordinator::Impl::AskNews(const std::string& aNode)
+Coordinator::Impl::RequestUpdates(const std::string& aNode)
 {
   const TimePoint now = Now();
-  if (now < mNewsAskDue) {
+  if (now < mUpdateRequestDue) {
     return;
   }
-  mNewsAskDue = now + kAskNewsEvery;
+  mUpdateRequestDue = now + kUpdateRequestInterval;
   proto::PeerMessage message = NewMessage();
-  message.mutable_news_request()->set_fence(mNews.Fence());
-  message.mutable_news_request()->set_after(mNews.Change());
+  message.mutable_news_request()->set_fence(mUpdates.Fence());
+  message.mutable_news_request()->set_after(mUpdates.Change());
   SendTo(aNode, message.SerializeAsString());
 }
 
 void
-Coordinator::Impl::AnswerNewsRequest(const proto::PeerMessage& aMessage)
+Coordinator::Impl::AnswerUpdateRequest(const proto::PeerMessage& aMessage)
 {
   const auto& request = aMessage.news_request();
   proto::PeerMessage message = NewMessage();
-  *message.mutable_news() = mNews.Since(request.fence(), request.after(), Now());
+  *message.mutable_news() = mUpdates.Since(request.fence(), request.after(), Now());
   SendTo(aMessage.node(), message.SerializeAsString());
 }
 
 void
-Coordinator::Impl::OnNews(const proto::PeerMessage& aMessage)
+Coordinator::Impl::OnUpdates(const proto::PeerMessage& aMessage)
 {
   const TimePoint now = Now();
   if (MayOrder()) {
     return; // of a holder that has been replaced, or this one learns of its successor by the lease
   }
-  switch (mNews.Take(aMessage.news(), now)) {
-    case NewsBook::Taken::kNothing:
+  switch (mUpdates.ApplyChanges(aMessage.news(), now)) {
+    case UpdateTracker::ApplyOutcome::kStale:
       return;
-    case NewsBook::Taken::kMissing:
-      AskNews(aMessage.node());
+    case UpdateTracker::ApplyOutcome::kGap:
+      RequestUpdates(aMessage.node());
       return;
-    case NewsBook::Taken::kChanged:
+    case UpdateTracker::ApplyOutcome::kApplied:
       break;
   }
   mChanged = true;
   proto::PeerMessage message = NewMessage();
   *message.mutable_news() = aMessage.news();
-  message.mutable_news()->set_age_ns(ToNs(now - mNews.AsOf()));
+  message.mutable_news()->set_age_ns(ToNs(now - mUpdates.AsOf()));
   const std::string bytes = message.SerializeAsString();
   for (const auto& it : mPeers.Correspondents(now)) {
     if (it != aMessage.node() && mPeers.Find(it)->mBeat.follows()) {
@@ -218,16 +218,16 @@
 }
 
 void
-Coordinator::Impl::TellNewsChanges()
+Coordinator::Impl::SendUpdates()
 {
   const TimePoint now = Now();
-  mNews.Confirm(now);
-  if (mNews.Change() == mNewsTold) {
+  mUpdates.Confirm(now);
+  if (mUpdates.Change() == mLastSentChange) {
     return;
   }
   proto::PeerMessage message = NewMessage();
-  *message.mutable_news() = mNews.Since(mNews.Fence(), mNewsTold, now);
-  mNewsTold = message.news().to();
+  *message.mutable_news() = mUpdates.Since(mUpdates.Fence(), mLastSentChange, now);
+  mLastSentChange = message.news().to();
   SendToNeighbours(message);
 }
 
@@ -480,9 +480,9 @@
   }
   beat.set_followers(static_cast<std::uint32_t>(Followers()));
   beat.set_nodes(static_cast<std::uint32_t>(NodesAtWork()));
-  beat.set_news_fence(mNews.Fence());
-  beat.set_news_change(mNews.Change());
-  beat.set_news_age_ns(ToNs(now - mNews.AsOf()));
+  beat.set_news_fence(mUpdates.Fence());
+  beat.set_news_change(mUpdates.Change());
+  beat.set_news_age_ns(ToNs(now - mUpdates.AsOf()));
   return beat;
 }
 
--- a/src/pepperbay/coordinator/coordinator_pools.cpp
+++ b/src/pepperbay/coordinator/coordinator_pools.cpp
@@ -31,10 +31,10 @@
   if (mPlannedFence != mLease.Fence()) {
     mPlannedFence = mLease.Fence();
     mPlanners.clear();
-    mFormerNews = mNews.Replicas();
-    mFormerHeads = mFormerNews;
-    mNews.Begin(mPlannedFence, Now());
-    mNewsTold = 0;
+    mFormerUpdates = mUpdates.Replicas();
+    mFormerHeads = mFormerUpdates;
+    mUpdates.Begin(mPlannedFence, Now());
+    mLastSentChange = 0;
     mHooks.mLog("lease_taken", { { "fence", std::to_string(mPlannedFence) } });
   }
   for (const auto& service : mRoutes->Services()) {
@@ -42,9 +42,9 @@
       PlanPool(service);
     }
   }
-  ForgetNews();
-  mFormerNews.clear();
-  TellNewsChanges();
+  DropRemovedReplicas();
+  mFormerUpdates.clear();
+  SendUpdates();
   mPlanPace.OnRound(begun, Now());
 }
 
@@ -93,7 +93,7 @@
   for (const auto& it : orders) {
     SendOrder(it, aService.mName);
   }
-  NoteNews(planner, aService.mPool->mFormTime);
+  RecordUpdates(planner, aService.mPool->mFormTime);
 }
 
 void
@@ -163,34 +163,34 @@
 }
 
 void
-Coordinator::Impl::NoteNews(const GroupPlanner& aPlanner, Duration aFormTime)
+Coordinator::Impl::RecordUpdates(const GroupPlanner& aPlanner, Duration aFormTime)
 {
   const auto bornOf = [this](const std::string& aEngine) {
     return mDirectory.NewestStart(aEngine);
   };
-  for (const auto& news : NewsOf(aPlanner.Replicas(), bornOf, Now(), aFormTime)) {
-    if (!mNews.Put(news)) {
+  for (const auto& update : UpdatesOf(aPlanner.Replicas(), bornOf, Now(), aFormTime)) {
+    if (!mUpdates.Put(update)) {
       continue;
     }
     mChanged = true;
-    const auto former = mFormerNews.find(news.group());
-    if (former != mFormerNews.end() && SaysSame(former->second, news)) {
+    const auto former = mFormerUpdates.find(update.group());
+    if (former != mFormerUpdates.end() && IsSameState(former->second, update)) {
       continue;
     }
     mHooks.mLog("replica",
-                { { "group", news.group() },
-                  { "epoch", std::to_string(news.epoch()) },
-                  { "model", news.model() },
-                  { "open", news.open() ? "true" : "false" },
-                  { "lost", news.lost() ? "true" : "false" },
-                  { "why", aPlanner.Replicas().at(news.group()).mWhy } });
+                { { "group", update.group() },
+                  { "epoch", std::to_string(update.epoch()) },
+                  { "model", update.model() },
+                  { "open", update.open() ? "true" : "false" },
+                  { "lost", update.lost() ? "true" : "false" },
+                  { "why", aPlanner.Replicas().at(update.group()).mWhy } });
   }
 }
 
 void
-Coordinator::Impl::ForgetNews()
+Coordinator::Impl::DropRemovedReplicas()
 {
-  mNews.KeepOnly([this](const std::string& aGroup) {
+  mUpdates.KeepOnly([this](const std::string& aGroup) {
     return std::any_of(mPlanners.begin(), mPlanners.end(), [&](const auto& aPlanner) {
       return aPlanner.second.Replicas().count(aGroup) != 0;
     });
--- a/src/pepperbay/coordinator/plan_builder.cpp
+++ b/src/pepperbay/coordinator/plan_builder.cpp
@@ -73,8 +73,8 @@
   }
   std::vector<PoolReplica> replicas;
   for (const auto& [name, group] : groups) {
-    const auto news = aSources.mNews->find(name);
-    const bool newer = news != aSources.mNews->end() && news->second.epoch() > group.mEpoch;
+    const auto update = aSources.mUpdates->find(name);
+    const bool newer = update != aSources.mUpdates->end() && update->second.epoch() > group.mEpoch;
     if (newer || group.mHead == nullptr || group.mHead->mLoadedModels.empty()) {
       continue;
     }
@@ -86,29 +86,29 @@
     const bool open = group.mHead->mGroup.mPhase == GroupPhase::kOpen;
     target.mLost = open && HasLost(group, aSources.mLost);
     target.mSuspended = !open || target.mLost || group.mHead->mLeaving;
-    if (news != aSources.mNews->end() && news->second.epoch() == group.mEpoch) {
-      target.mLost = target.mLost || news->second.lost();
-      target.mSuspended = target.mSuspended || !news->second.open();
+    if (update != aSources.mUpdates->end() && update->second.epoch() == group.mEpoch) {
+      target.mLost = target.mLost || update->second.lost();
+      target.mSuspended = target.mSuspended || !update->second.open();
     }
     replicas.push_back(std::move(target));
   }
-  for (const auto& [name, news] : *aSources.mNews) {
+  for (const auto& [name, update] : *aSources.mUpdates) {
     const auto group = groups.find(name);
-    const auto head = byShortId.find(news.head());
-    const bool known = group != groups.end() && group->second.mEpoch >= news.epoch();
+    const auto head = byShortId.find(update.head());
+    const bool known = group != groups.end() && group->second.mEpoch >= update.epoch();
     if (known || head == byShortId.end()) {
       continue;
     }
-    if (BornMs(head->second->mBorn) > news.head_born_ms()) {
+    if (BornMs(head->second->mBorn) > update.head_born_ms()) {
       continue; // of before the head started again: it is in no replica now
     }
     PoolReplica target;
     target.mGroup = name;
-    target.mEpoch = news.epoch();
-    target.mModel = news.model();
+    target.mEpoch = update.epoch();
+    target.mModel = update.model();
     target.mHead = TargetOf(*head->second);
-    target.mLost = news.lost();
-    target.mSuspended = !news.open() || head->second->mLeaving;
+    target.mLost = update.lost();
+    target.mSuspended = !update.open() || head->second->mLeaving;
     replicas.push_back(std::move(target));
   }
   return replicas;
@@ -146,26 +146,26 @@
 }
 
 std::vector<proto::ReplicaNews>
-NewsOf(const std::map<std::string, PlannedReplica>& aReplicas,
-       const std::function<WallTime(const std::string& aEngine)>& aBornOf,
-       TimePoint aNow,
-       Duration aFormTime)
+UpdatesOf(const std::map<std::string, PlannedReplica>& aReplicas,
+          const std::function<WallTime(const std::string& aEngine)>& aBornOf,
+          TimePoint aNow,
+          Duration aFormTime)
 {
-  std::vector<proto::ReplicaNews> all;
+  std::vector<proto::ReplicaNews> updates;
   for (const auto& [name, replica] : aReplicas) {
-    proto::ReplicaNews news;
-    news.set_group(name);
-    news.set_epoch(replica.mEpoch);
-    news.set_model(replica.mModel);
-    news.set_head(ShortId(replica.mMembers.front()));
-    news.set_head_born_ms(BornMs(aBornOf(replica.mMembers.front())));
+    proto::ReplicaNews update;
+    update.set_group(name);
+    update.set_epoch(replica.mEpoch);
+    update.set_model(replica.mModel);
+    update.set_head(ShortId(replica.mMembers.front()));
+    update.set_head_born_ms(BornMs(aBornOf(replica.mMembers.front())));
     // The head serves a while after it has accepted the order to open.
-    news.set_open(replica.mPhase == ReplicaPhase::kOpen && !replica.mLeavingSince &&
-                  aNow - replica.mSince >= aFormTime);
-    news.set_lost(replica.mPhase == ReplicaPhase::kBroken || replica.mMemberLost);
-    all.push_back(std::move(news));
+    update.set_open(replica.mPhase == ReplicaPhase::kOpen && !replica.mLeavingSince &&
+                    aNow - replica.mSince >= aFormTime);
+    update.set_lost(replica.mPhase == ReplicaPhase::kBroken || replica.mMemberLost);
+    updates.push_back(std::move(update));
   }
-  return all;
+  return updates;
 }
 
 } // namespace pepperbay
--- a/src/pepperbay/coordinator/plan_builder.hpp
+++ b/src/pepperbay/coordinator/plan_builder.hpp
@@ -20,7 +20,7 @@
   std::shared_ptr<const RouteTable> mRoutes;
   const EngineMap* mEngines = nullptr;
   /// What the holder of the lease says of replicas, by name.
-  const std::map<std::string, proto::ReplicaNews>* mNews = nullptr;
+  const std::map<std::string, proto::ReplicaNews>* mUpdates = nullptr;
   std::function<bool(const std::string& aEngine)> mLost;
 };
 
@@ -33,9 +33,9 @@
 /// What the holder tells of its replicas.
 /// @param aBornOf the newest start of an engine
 std::vector<proto::ReplicaNews>
-NewsOf(const std::map<std::string, PlannedReplica>& aReplicas,
-       const std::function<WallTime(const std::string& aEngine)>& aBornOf,
-       TimePoint aNow,
-       Duration aFormTime);
+UpdatesOf(const std::map<std::string, PlannedReplica>& aReplicas,
+          const std::function<WallTime(const std::string& aEngine)>& aBornOf,
+          TimePoint aNow,
+          Duration aFormTime);
 
 } // namespace pepperbay
--- a/src/pepperbay/coordinator/news_book.hpp
+++ b/src/pepperbay/coordinator/update_tracker.hpp
@@ -19,10 +19,10 @@
 
 /// @return whether two words of one replica say the same.
 bool
-SaysSame(const proto::ReplicaNews& aLeft, const proto::ReplicaNews& aRight);
+IsSameState(const proto::ReplicaNews& aLeft, const proto::ReplicaNews& aRight);
 
 /// Of one tenure of the lease at a time. The holder writes, all others take what they are told.
-class NewsBook
+class UpdateTracker
 {
 public:
   /// This node's tenure begins: nothing is known yet.
@@ -30,18 +30,18 @@
   /// The holder stands by all of it.
   void Confirm(TimePoint aNow) { mAsOf = aNow; }
   /// @return whether this says anything new of the replica; it is then numbered.
-  bool Put(proto::ReplicaNews aNews);
-  /// Keep only the replicas for which `aKeeps` is true.
-  void KeepOnly(const std::function<bool(const std::string& aGroup)>& aKeeps);
+  bool Put(proto::ReplicaNews aUpdate);
+  /// Keep only the replicas for which `aIsKept` is true.
+  void KeepOnly(const std::function<bool(const std::string& aGroup)>& aIsKept);
 
-  enum class Taken
+  enum class ApplyOutcome
   {
-    kNothing, ///< old
-    kChanged,
-    kMissing, ///< changes before these have not come
+    kStale, ///< old
+    kApplied,
+    kGap, ///< changes before these have not come
   };
   /// Changes that another node passes on.
-  Taken Take(const proto::NewsChanges& aChanges, TimePoint aNow);
+  ApplyOutcome ApplyChanges(const proto::NewsChanges& aChanges, TimePoint aNow);
   /// Another node's heartbeat names what it has. @return whether that is more than is known here
   bool OnNewest(const proto::Beat& aBeat, TimePoint aNow);
 
@@ -56,14 +56,14 @@
   const std::map<std::string, proto::ReplicaNews>& Replicas() const { return mReplicas; }
 
 private:
-  void Apply(const proto::ReplicaNews& aNews);
+  void Apply(const proto::ReplicaNews& aUpdate);
 
   std::uint64_t mFence = 0;
   std::uint64_t mChange = 0;
   TimePoint mAsOf{};
   std::map<std::string, proto::ReplicaNews> mReplicas;
-  std::deque<proto::ReplicaNews> mGone; ///< the last that went, in order
-  std::uint64_t mGoneBefore = 0;        ///< older removals are not kept
+  std::deque<proto::ReplicaNews> mRemovals; ///< the last that went, in order
+  std::uint64_t mDroppedUpTo = 0;           ///< older removals are not kept
 };
 
 } // namespace pepperbay
