--- a/cmake/Layers.cmake
+++ b/cmake/Layers.cmake
@@ -67,9 +67,9 @@
 # A node before a shared pool of engines, and the users' platform, which only translates.
 pepperbay_library(coordinator SOURCES coordinator.cpp coordinator_bounds.cpp coordinator_dump.cpp coordinator_peers.cpp
                                       coordinator_pools.cpp coordinator_registrations.cpp
-                                      coordinator_reach.cpp engine_calls.cpp engine_suspicions.cpp freshness_book.cpp
+                                      coordinator_reach.cpp engine_calls.cpp engine_suspicions.cpp freshness_tracker.cpp
                                       coordinator_logs.cpp coordinator_rate_leases.cpp log_reads.cpp update_tracker.cpp
-                                      node_tree.cpp peer_book.cpp plan_builder.cpp
+                                      node_tree.cpp peer_table.cpp plan_builder.cpp
                                       rate_leases.cpp reachability_probes.cpp quarantine_manager.cpp
                   TESTS coordinator_test.cpp coordinator_tree_test.cpp coordinator_freshness_test.cpp coordinator_readers_test.cpp
                         coordinator_messages_test.cpp
--- a/include/pepperbay/coordinator/coordinator.hpp
+++ b/include/pepperbay/coordinator/coordinator.hpp
@@ -31,8 +31,8 @@
   std::string mNode;
   std::uint64_t mIncarnation = 0;
   std::string mDataCentre;
-  std::string mAddress;     ///< where this node hears its peers
-  std::string mDeskAddress; ///< where its place desk hears others; see places/place_agent.hpp
+  std::string mAddress;          ///< where this node hears its peers
+  std::string mAllocatorAddress; ///< where its place desk hears others; see places/place_agent.hpp
   /// Where it carries connections to engines for others, and what those have to name; empty: it
   /// does not. See tunnel/tunnel_server.hpp.
   std::string mTunnelAddress;
--- a/include/pepperbay/coordinator/rate_leases.hpp
+++ b/include/pepperbay/coordinator/rate_leases.hpp
@@ -25,11 +25,11 @@
   int mDriftPermille = 20;
   /// Of those who have asked within this time, one with more than twice as many followers goes
   /// first: a desk that one node follows must not keep the right from that of all others.
-  Duration mContest = std::chrono::milliseconds(600);
+  Duration mContestWindow = std::chrono::milliseconds(600);
 };
 
 /// Who asks to count.
-struct RateLeaseAsker
+struct RateLeaseRequester
 {
   std::string mNode;
   std::uint64_t mIncarnation = 0;
@@ -41,19 +41,19 @@
 /// @code
 /// if (lease.Held()) { book.Begin(lease.Fence(), now); given = book.Give(asker, centres, now); }
 /// @endcode
-class RateLeaseBook
+class RateLeaseTable
 {
 public:
-  explicit RateLeaseBook(RateLeaseOptions aOptions = {});
+  explicit RateLeaseTable(RateLeaseOptions aOptions = {});
 
   /// This node holds the pool's lease, in this tenure. What a former holder gave may still run.
   void Begin(std::uint64_t aFence, TimePoint aNow);
   /// Call it only while the lease is held.
   /// @return of the data centres, those in which the asker may count, for `Length()` from its
   /// question on
-  std::vector<std::string> Give(const RateLeaseAsker& aAsker,
-                                const std::vector<std::string>& aDataCentres,
-                                TimePoint aNow);
+  std::vector<std::string> Grant(const RateLeaseRequester& aRequester,
+                                 const std::vector<std::string>& aDataCentres,
+                                 TimePoint aNow);
   Duration Length() const { return mOptions.mLength; }
 
 private:
@@ -67,13 +67,13 @@
     std::string mNode;
     std::uint64_t mIncarnation = 0;
     TimePoint mUntil{}; ///< by the slowest clock
-    std::map<std::string, Asked> mAskers;
+    std::map<std::string, Asked> mRequesters;
   };
 
   /// @return by when a right that is given at a time has run out for certain.
-  TimePoint EndOf(TimePoint aGiven) const;
+  TimePoint EndOf(TimePoint aGranted) const;
   /// @return the most followers of those that have asked lately.
-  std::size_t MostFollowers(Entry* aEntry, TimePoint aNow) const;
+  std::size_t MaxFollowers(Entry* aEntry, TimePoint aNow) const;
 
   RateLeaseOptions mOptions;
   std::uint64_t mFence = 0;
@@ -82,14 +82,14 @@
 };
 
 /// A desk's account of what it has been given.
-class RateLeaseHold
+class HeldRateLeases
 {
 public:
   /// @param aAskedAt by this node's clock, as the answer names it
-  void OnGiven(const std::vector<std::string>& aDataCentres,
-               TimePoint aAskedAt,
-               Duration aLength,
-               TimePoint aNow);
+  void OnGranted(const std::vector<std::string>& aDataCentres,
+                 TimePoint aAskedAt,
+                 Duration aLength,
+                 TimePoint aNow);
   /// @return what still runs.
   RateLeases Current(TimePoint aNow);
 
--- a/scripts/mutants/reach.sh
+++ b/scripts/mutants/reach.sh
@@ -35,7 +35,7 @@
   's/  if \(mSight\) \{/  if (true) {/' $tunnel '*WhetherOthersAnswer*'
 mutant "peers do not take turns" include/pepperbay/reach/proxy_choice.hpp \
   's/ mAsked\[aNode\] = \+\+mAsks; //' reach_proxy_choice_test '*TakeTurns*'
-mutant "nodes that reach nothing are asked" $s/coordinator/peer_book.cpp \
+mutant "nodes that reach nothing are asked" $s/coordinator/peer_table.cpp \
   's/ \&\& !Unreached\(peer, aNow\)//' coordinator_coordinator_reach_test '*WhoReachesNoEngine*'
 mutant "delegates do not tell who reaches nothing" $s/coordinator/coordinator_reach.cpp \
   's/  if \(!mTree.IsUpper\(\)\) \{/  if (true) {/' coordinator_coordinator_reach_test 'ReachOfAFleet.*'
--- a/scripts/mutants/shared_pool.sh
+++ b/scripts/mutants/shared_pool.sh
@@ -102,10 +102,10 @@
 mutant "a silent delegate is followed" $s/coordinator/node_tree.cpp \
   's/standing != Standing::kSilent && //; s/self \|\| StandingOf\(it, aPeers, aNow\) == Standing::kHeard/true/' \
   coordinator_coordinator_tree_test '*AnotherDelegate*'
-mutant "a freshness answer counts from its receipt" $s/coordinator/freshness_book.cpp \
+mutant "a freshness answer counts from its receipt" $s/coordinator/freshness_tracker.cpp \
   's/answered - FromNs\(beat.config_age_ns\(\)\)/aNow/' \
   coordinator_coordinator_tree_test '*NeverNewer*'
-mutant "an age of records that are missing here counts" $s/coordinator/freshness_book.cpp \
+mutant "an age of records that are missing here counts" $s/coordinator/freshness_tracker.cpp \
   's/<= aOwn\[i\]/<= aOwn[i] + 1/' \
   coordinator_coordinator_freshness_test '*AnAgeOfALog*'
 mutant "a node whose view is old waits for its reader" $s/coordinator/coordinator_logs.cpp \
--- a/src/pepperbay/coordinator/coordinator.cpp
+++ b/src/pepperbay/coordinator/coordinator.cpp
@@ -166,8 +166,8 @@
   , mTree({ mOptions.mNode, mOptions.mDataCentre, mOptions.mCpuPermille })
   , mConfigurationLook(mOptions.mLookAgainFirst, mOptions.mProbeMost)
   , mEnginesLook(mOptions.mLookAgainFirst, mOptions.mProbeMost)
-  , mRateLeasesGiven(mOptions.mRateLeases)
-  , mRetryRightsGiven(mOptions.mRateLeases)
+  , mGrantedRateLeases(mOptions.mRateLeases)
+  , mGrantedRetryLeases(mOptions.mRateLeases)
 {
 }
 
@@ -321,23 +321,23 @@
   aPlan->mNodes = NodesAtWork();
   aPlan->mIsDesk = mTree.FollowsItself();
   aPlan->mDesks.clear();
-  const auto deskOf = [this](const std::string& aNode) {
+  const auto allocatorOf = [this](const std::string& aNode) {
     const KnownPeer* peer = mPeers.Find(aNode);
-    return DeskAddress{ aNode, peer == nullptr ? std::string() : peer->mDeskAddress };
+    return DeskAddress{ aNode, peer == nullptr ? std::string() : peer->mAllocatorAddress };
   };
   for (const auto& it : mTree.Delegates()) {
-    aPlan->mDesks.push_back(deskOf(it));
+    aPlan->mDesks.push_back(allocatorOf(it));
   }
   aPlan->mDesksOf.clear();
   for (const auto& [scope, delegates] : mTree.OtherDelegates()) {
     if (!delegates.empty()) {
-      aPlan->mDesksOf[scope] = deskOf(delegates.front());
+      aPlan->mDesksOf[scope] = allocatorOf(delegates.front());
     }
   }
   aPlan->mListedNodes = std::max(NodesAtWork(), static_cast<int>(mPeers.Peers().size()) + 1);
   aPlan->mRateLeases = mRateLeases.Current(Now());
   aPlan->mOthersLimits = OthersLimits();
-  aPlan->mRetryKeeper = RetryKeeper();
+  aPlan->mRetryKeeper = FindRetryBudgetOwner();
 }
 
 void
--- a/src/pepperbay/coordinator/coordinator_freshness_test.cpp
+++ b/src/pepperbay/coordinator/coordinator_freshness_test.cpp
@@ -1,5 +1,5 @@
 #include "coordinator_fixture.hpp"
-#include "freshness_book.hpp"
+#include "freshness_tracker.hpp"
 
 #include <pepperbay.pb.h>
 
@@ -81,7 +81,7 @@
 
 /// Symptom: requests go to an engine that has left, by a node that believes its registrations new.
 /// Sequence: a peer has read a record that has not come here and says that all it knows is new.
-TEST(FreshnessBook, AnAgeOfALogCountsOnlyForWhoHasAllThatItSpeaksOf)
+TEST(FreshnessTracker, AnAgeOfALogCountsOnlyForWhoHasAllThatItSpeaksOf)
 {
   const TimePoint asked{ seconds(100) };
   const TimePoint now = asked + milliseconds(30);
@@ -97,7 +97,7 @@
   answer->set_asked_at_ns(static_cast<std::uint64_t>(Duration(seconds(100)).count()));
   answer->set_held_ns(static_cast<std::uint64_t>(Duration(milliseconds(20)).count()));
 
-  FreshnessBook book("self", 3);
+  FreshnessTracker book("self", 3);
   book.OnBeat(message, 1, { 4, 8, 2 }, now);
   EXPECT_EQ(book.LogAsOf(FollowedLog::kConfiguration), asked + milliseconds(20 - 200));
   EXPECT_EQ(book.LogAsOf(FollowedLog::kEngines), TimePoint{}) << "one record is missing here";
--- a/src/pepperbay/coordinator/coordinator_impl.hpp
+++ b/src/pepperbay/coordinator/coordinator_impl.hpp
@@ -4,11 +4,11 @@
 
 #include "engine_calls.hpp"
 #include "engine_suspicions.hpp"
-#include "freshness_book.hpp"
+#include "freshness_tracker.hpp"
 #include "log_reads.hpp"
 #include "look_pause.hpp"
 #include "node_tree.hpp"
-#include "peer_book.hpp"
+#include "peer_table.hpp"
 #include "pepperbay/coordinator/coordinator.hpp"
 #include "plan_builder.hpp"
 #include "quarantine_manager.hpp"
@@ -65,13 +65,13 @@
   void AskRateLeases(proto::Beat* aBeat);
   /// As the holder of the lease, answer who asks.
   void OnRateLeasesAsked(const proto::PeerMessage& aMessage);
-  void OnRateLeases(const proto::RateLeases& aGiven);
+  void OnRateLeases(const proto::RateLeases& aGranted);
   /// The holder of the lease needs no message to itself.
-  void GiveOwnRateLeases();
+  void GrantOwnRateLeases();
   /// The holder of the lease keeps the budget of second attempts.
-  void RenewRetryRight();
+  void RenewRetryLease();
   /// @return who keeps it, as far as this node knows.
-  RetryKeeperPlan RetryKeeper();
+  RetryKeeperPlan FindRetryBudgetOwner();
   /// @return limits that nodes tell who count the requests of other data centres' engines.
   EngineLimits OthersLimits() const;
   /// @return these, and those that this node has been told itself.
@@ -227,8 +227,8 @@
   ReachabilityProbes mReachabilityProbes;
   std::size_t mNextProbe = 0;
   EngineSuspicions mEngineSuspicions;
-  PeerBook mPeers;
-  FreshnessBook mFreshness;
+  PeerTable mPeers;
+  FreshnessTracker mFreshness;
   QuarantineManager mSuspects;
   NodeTree mTree;
   LogReads mReads;
@@ -252,10 +252,10 @@
   TimePoint mUpdateRequestDue{};
   std::unordered_map<std::string, int> mInFlight;
   EngineLimits mLimits; ///< as this node has been told
-  RateLeaseBook mRateLeasesGiven;
-  RateLeaseHold mRateLeases;
-  RateLeaseBook mRetryRightsGiven; ///< to this node itself, while it holds the lease
-  RateLeaseHold mRetryRights;
+  RateLeaseTable mGrantedRateLeases;
+  HeldRateLeases mRateLeases;
+  RateLeaseTable mGrantedRetryLeases; ///< to this node itself, while it holds the lease
+  HeldRateLeases mRetryLeases;
   std::map<std::string, proto::RateLeases> mRateLeaseAnswers; ///< to be sent, by node
   std::map<std::string, TimePoint> mSilentHeads; ///< heads whose streams stand still, as last told
   std::map<std::string, TimePoint> mHeadsAsked;  ///< heads whose members were just asked
--- a/src/pepperbay/coordinator/coordinator_peers.cpp
+++ b/src/pepperbay/coordinator/coordinator_peers.cpp
@@ -61,7 +61,7 @@
   record.set_node(mOptions.mNode);
   record.set_incarnation(mOptions.mIncarnation);
   record.set_address(mOptions.mAddress);
-  record.set_desk_address(mOptions.mDeskAddress);
+  record.set_desk_address(mOptions.mAllocatorAddress);
   record.set_tunnel_address(mOptions.mTunnelAddress);
   record.set_tunnel_key(mOptions.mTunnelKey);
   record.set_data_centre(mOptions.mDataCentre);
@@ -409,8 +409,8 @@
   for (auto& it : mPeers.Correspondents(now)) {
     recipients.insert(std::move(it));
   }
-  GiveOwnRateLeases();
-  RenewRetryRight();
+  GrantOwnRateLeases();
+  RenewRetryLease();
   proto::PeerMessage message = NewMessage();
   const proto::Beat common = MakeBeat();
   for (const auto& it : recipients) {
--- a/src/pepperbay/coordinator/coordinator_rate_leases.cpp
+++ b/src/pepperbay/coordinator/coordinator_rate_leases.cpp
@@ -7,9 +7,9 @@
 namespace pepperbay {
 namespace {
 
-constexpr std::chrono::seconds kMostLength{ 60 };
+constexpr std::chrono::seconds kMaxLeaseLength{ 60 };
 /// Names the right to keep the budget of second attempts.
-constexpr const char* kRetryRight = "retries";
+constexpr const char* kRetryLease = "retries";
 
 std::uint64_t
 StampOf(TimePoint aTime)
@@ -58,80 +58,80 @@
   if (asked.data_centres().empty() || !mLease.Held()) {
     return;
   }
-  mRateLeasesGiven.Begin(mLease.Fence(), Now());
+  mGrantedRateLeases.Begin(mLease.Fence(), Now());
   proto::RateLeases answer;
   answer.set_asked_at_ns(asked.asked_at_ns());
   answer.set_asker_incarnation(asked.asker_incarnation());
-  answer.set_length_ns(static_cast<std::uint64_t>(mRateLeasesGiven.Length().count()));
-  const RateLeaseAsker asker{ aMessage.node(),
-                              aMessage.incarnation(),
-                              aMessage.beat().followers() };
-  for (auto& it : mRateLeasesGiven.Give(
-         asker, { asked.data_centres().begin(), asked.data_centres().end() }, Now())) {
+  answer.set_length_ns(static_cast<std::uint64_t>(mGrantedRateLeases.Length().count()));
+  const RateLeaseRequester requester{ aMessage.node(),
+                                      aMessage.incarnation(),
+                                      aMessage.beat().followers() };
+  for (auto& it : mGrantedRateLeases.Grant(
+         requester, { asked.data_centres().begin(), asked.data_centres().end() }, Now())) {
     answer.add_data_centres(std::move(it));
   }
   mRateLeaseAnswers[aMessage.node()] = std::move(answer);
 }
 
 void
-Coordinator::Impl::OnRateLeases(const proto::RateLeases& aGiven)
+Coordinator::Impl::OnRateLeases(const proto::RateLeases& aGranted)
 {
-  if (aGiven.data_centres().empty() || aGiven.asker_incarnation() != mOptions.mIncarnation) {
+  if (aGranted.data_centres().empty() || aGranted.asker_incarnation() != mOptions.mIncarnation) {
     return;
   }
   // Far from overflow, whatever a broken message says.
   const std::uint64_t length =
-    std::min(aGiven.length_ns(), static_cast<std::uint64_t>(Duration(kMostLength).count()));
-  mRateLeases.OnGiven({ aGiven.data_centres().begin(), aGiven.data_centres().end() },
-                      TimePoint(std::chrono::nanoseconds(aGiven.asked_at_ns())),
-                      std::chrono::nanoseconds(length),
-                      Now());
+    std::min(aGranted.length_ns(), static_cast<std::uint64_t>(Duration(kMaxLeaseLength).count()));
+  mRateLeases.OnGranted({ aGranted.data_centres().begin(), aGranted.data_centres().end() },
+                        TimePoint(std::chrono::nanoseconds(aGranted.asked_at_ns())),
+                        std::chrono::nanoseconds(length),
+                        Now());
 }
 
 void
-Coordinator::Impl::GiveOwnRateLeases()
+Coordinator::Impl::GrantOwnRateLeases()
 {
   const auto wanted = WantedRateLeases();
   if (wanted.empty() || !mLease.Held()) {
     return;
   }
   const TimePoint now = Now();
-  mRateLeasesGiven.Begin(mLease.Fence(), now);
-  const RateLeaseAsker self{ mOptions.mNode,
-                             mOptions.mIncarnation,
-                             static_cast<std::size_t>(Followers()) };
-  mRateLeases.OnGiven(
-    mRateLeasesGiven.Give(self, wanted, now), now, mRateLeasesGiven.Length(), now);
+  mGrantedRateLeases.Begin(mLease.Fence(), now);
+  const RateLeaseRequester self{ mOptions.mNode,
+                                 mOptions.mIncarnation,
+                                 static_cast<std::size_t>(Followers()) };
+  mRateLeases.OnGranted(
+    mGrantedRateLeases.Grant(self, wanted, now), now, mGrantedRateLeases.Length(), now);
 }
 
 void
-Coordinator::Impl::RenewRetryRight()
+Coordinator::Impl::RenewRetryLease()
 {
   if (mStopping || !mLease.Held()) {
     return;
   }
   const TimePoint now = Now();
-  mRetryRightsGiven.Begin(mLease.Fence(), now);
-  const RateLeaseAsker self{ mOptions.mNode, mOptions.mIncarnation, 0 };
-  mRetryRights.OnGiven(
-    mRetryRightsGiven.Give(self, { kRetryRight }, now), now, mRetryRightsGiven.Length(), now);
+  mGrantedRetryLeases.Begin(mLease.Fence(), now);
+  const RateLeaseRequester self{ mOptions.mNode, mOptions.mIncarnation, 0 };
+  mRetryLeases.OnGranted(
+    mGrantedRetryLeases.Grant(self, { kRetryLease }, now), now, mGrantedRetryLeases.Length(), now);
 }
 
 RetryKeeperPlan
-Coordinator::Impl::RetryKeeper()
+Coordinator::Impl::FindRetryBudgetOwner()
 {
-  RetryKeeperPlan keeper;
-  keeper.mOwn = std::nullopt;
-  const RateLeases own = mRetryRights.Current(Now());
-  if (const auto it = own.find(kRetryRight); it != own.end()) {
-    keeper.mOwn = it->second;
+  RetryKeeperPlan owner;
+  owner.mOwn = std::nullopt;
+  const RateLeases own = mRetryLeases.Current(Now());
+  if (const auto it = own.find(kRetryLease); it != own.end()) {
+    owner.mOwn = it->second;
   }
   const std::string& holder = mLease.Newest().holder();
   const KnownPeer* peer = holder == mOptions.mNode ? nullptr : mPeers.Find(holder);
   if (peer != nullptr) {
-    keeper.mAddress = peer->mDeskAddress;
+    owner.mAddress = peer->mAllocatorAddress;
   }
-  return keeper;
+  return owner;
 }
 
 EngineLimits
--- a/src/pepperbay/coordinator/coordinator_world.hpp
+++ b/src/pepperbay/coordinator/coordinator_world.hpp
@@ -76,7 +76,7 @@
     options.mNode = aName;
     options.mIncarnation = ++mIncarnations;
     options.mAddress = aName;
-    options.mDeskAddress = "desk of " + aName;
+    options.mAllocatorAddress = "desk of " + aName;
     options.mTunnelAddress = mTunnels ? aName : "";
     options.mTunnelKey = "key of " + aName;
     options.mDataCentre = aDataCentre;
--- a/src/pepperbay/coordinator/freshness_book.cpp
+++ b/src/pepperbay/coordinator/freshness_tracker.cpp
@@ -1,4 +1,4 @@
-#include "freshness_book.hpp"
+#include "freshness_tracker.hpp"
 
 #include <algorithm>
 #include <utility>
@@ -8,9 +8,9 @@
 
 /// A node that still asks does so with each heartbeat, every 200 ms; one that is silent for this
 /// long has found the store again or is gone.
-constexpr std::chrono::seconds kQuestionLife{ 1 };
+constexpr std::chrono::seconds kRequestLifetime{ 1 };
 /// A log that is older than this is as good as not known.
-constexpr std::chrono::milliseconds kOldestLog{ std::chrono::hours(1) };
+constexpr std::chrono::milliseconds kMaxLogAge{ std::chrono::hours(1) };
 
 std::uint64_t
 ToNs(Duration aDuration)
@@ -26,21 +26,21 @@
 
 } // namespace
 
-FreshnessBook::FreshnessBook(std::string aSelf, std::uint64_t aIncarnation)
+FreshnessTracker::FreshnessTracker(std::string aSelf, std::uint64_t aIncarnation)
   : mSelf(std::move(aSelf))
   , mIncarnation(aIncarnation)
 {
 }
 
 void
-FreshnessBook::OnBeat(const proto::PeerMessage& aMessage,
-                      std::uint64_t aVersion,
-                      const LogOffsets& aOwn,
-                      TimePoint aNow)
+FreshnessTracker::OnBeat(const proto::PeerMessage& aMessage,
+                         std::uint64_t aVersion,
+                         const LogOffsets& aOwn,
+                         TimePoint aNow)
 {
   const proto::Beat& beat = aMessage.beat();
   if (beat.asks_freshness_at_ns() != 0) {
-    mQuestions[aMessage.node()] = { aMessage.incarnation(), beat.asks_freshness_at_ns(), aNow };
+    mRequests[aMessage.node()] = { aMessage.incarnation(), beat.asks_freshness_at_ns(), aNow };
   }
   for (const auto& it : beat.freshness()) {
     if (it.node() != mSelf || it.incarnation() != mIncarnation) {
@@ -58,17 +58,17 @@
 }
 
 void
-FreshnessBook::NoteLogs(const proto::Beat& aBeat, const LogOffsets& aOwn, TimePoint aAnswered)
+FreshnessTracker::NoteLogs(const proto::Beat& aBeat, const LogOffsets& aOwn, TimePoint aAnswered)
 {
-  const bool told = aBeat.log_age_ms_size() == static_cast<int>(kFollowedLogs) &&
-                    aBeat.log_next_size() == static_cast<int>(kFollowedLogs);
-  if (!told) {
+  const bool reported = aBeat.log_age_ms_size() == static_cast<int>(kFollowedLogs) &&
+                        aBeat.log_next_size() == static_cast<int>(kFollowedLogs);
+  if (!reported) {
     return; // of an older version
   }
   for (std::size_t i = 0; i < kFollowedLogs; ++i) {
     const int log = static_cast<int>(i);
     const std::uint64_t age = aBeat.log_age_ms(log);
-    const bool known = age < static_cast<std::uint64_t>(kOldestLog.count());
+    const bool known = age < static_cast<std::uint64_t>(kMaxLogAge.count());
     if (known && aBeat.log_next(log) <= aOwn[i]) { // else it speaks of records unknown here
       mLogAsOf[i] = std::max(mLogAsOf[i], aAnswered - std::chrono::milliseconds(age));
     }
@@ -76,23 +76,23 @@
 }
 
 void
-FreshnessBook::Fill(proto::Beat* aBeat, bool aAsk, TimePoint aAsOf, TimePoint aNow)
+FreshnessTracker::Fill(proto::Beat* aBeat, bool aAsk, TimePoint aAsOf, TimePoint aNow)
 {
   if (aAsk) {
     aBeat->set_asks_freshness_at_ns(ToNs(aNow.time_since_epoch()));
   }
   aBeat->set_config_age_ns(ToNs(aNow - aAsOf));
-  for (auto it = mQuestions.begin(); it != mQuestions.end();) {
-    const bool old = aNow - it->second.mReceived >= kQuestionLife;
-    it = old ? mQuestions.erase(it) : std::next(it);
+  for (auto it = mRequests.begin(); it != mRequests.end();) {
+    const bool old = aNow - it->second.mReceived >= kRequestLifetime;
+    it = old ? mRequests.erase(it) : std::next(it);
   }
 }
 
 void
-FreshnessBook::Answer(const std::string& aNode, proto::Beat* aBeat, TimePoint aNow) const
+FreshnessTracker::Answer(const std::string& aNode, proto::Beat* aBeat, TimePoint aNow) const
 {
-  const auto it = mQuestions.find(aNode);
-  if (it == mQuestions.end()) {
+  const auto it = mRequests.find(aNode);
+  if (it == mRequests.end()) {
     return;
   }
   auto* answer = aBeat->add_freshness();
--- a/src/pepperbay/coordinator/freshness_book.hpp
+++ b/src/pepperbay/coordinator/freshness_tracker.hpp
@@ -20,10 +20,10 @@
 
 namespace pepperbay {
 
-class FreshnessBook
+class FreshnessTracker
 {
 public:
-  FreshnessBook(std::string aSelf, std::uint64_t aIncarnation);
+  FreshnessTracker(std::string aSelf, std::uint64_t aIncarnation);
 
   /// A peer's heartbeat came.
   /// @param aVersion of the configuration in force here
@@ -37,7 +37,7 @@
   /// @param aAsOf when the configuration here was the newest for certain
   void Fill(proto::Beat* aBeat, bool aAsk, TimePoint aAsOf, TimePoint aNow);
   /// @return whether a node has asked lately
-  bool HasAsked(const std::string& aNode) const { return mQuestions.count(aNode) != 0; }
+  bool HasAsked(const std::string& aNode) const { return mRequests.count(aNode) != 0; }
   /// Add the answer to what a node has asked.
   void Answer(const std::string& aNode, proto::Beat* aBeat, TimePoint aNow) const;
 
@@ -50,7 +50,7 @@
   /// @param aAnswered a moment before which the peer did not speak
   void NoteLogs(const proto::Beat& aBeat, const LogOffsets& aOwn, TimePoint aAnswered);
 
-  struct Question
+  struct Request
   {
     std::uint64_t mIncarnation = 0;
     std::uint64_t mAskedAtNs = 0;
@@ -59,7 +59,7 @@
 
   std::string mSelf;
   std::uint64_t mIncarnation;
-  std::map<std::string, Question> mQuestions; ///< by node
+  std::map<std::string, Request> mRequests; ///< by node
   TimePoint mAsOf{};
   std::array<TimePoint, kFollowedLogs> mLogAsOf{};
 };
--- a/src/pepperbay/coordinator/log_reads.hpp
+++ b/src/pepperbay/coordinator/log_reads.hpp
@@ -40,9 +40,11 @@
   /// Somebody may; that will show in a moment.
   void ReadNothing() { mReads.fill(false); }
   /// Another node reads.
-  /// @param aTheirs how far it has read, by its last heartbeat; empty: it did not say
+  /// @param aReaderNext how far it has read, by its last heartbeat; empty: it did not say
   /// @param aOwn how far this node has been told
-  void RelyOn(const std::vector<std::uint64_t>& aTheirs, const LogOffsets& aOwn, TimePoint aNow);
+  void RelyOn(const std::vector<std::uint64_t>& aReaderNext,
+              const LogOffsets& aOwn,
+              TimePoint aNow);
 
   /// @return whether this node should read the log itself now.
   bool Reads(FollowedLog aLog) const { return mReads[static_cast<std::size_t>(aLog)]; }
--- a/src/pepperbay/coordinator/node_tree.cpp
+++ b/src/pepperbay/coordinator/node_tree.cpp
@@ -21,7 +21,7 @@
 }
 
 void
-NodeTree::Rank(const PeerBook& aPeers)
+NodeTree::Rank(const PeerTable& aPeers)
 {
   struct Listed
   {
@@ -61,13 +61,13 @@
 }
 
 NodeTree::Standing
-NodeTree::StandingOf(const std::string& aNode, const PeerBook& aPeers, TimePoint aNow) const
+NodeTree::StandingOf(const std::string& aNode, const PeerTable& aPeers, TimePoint aNow) const
 {
   const KnownPeer* peer = aPeers.Find(aNode);
   if (peer == nullptr) {
     return Standing::kSilent;
   }
-  if (peer->mHeard != TimePoint{} && aNow - peer->mHeard < mOptions.mSilence) {
+  if (peer->mLastHeard != TimePoint{} && aNow - peer->mLastHeard < mOptions.mSilence) {
     return Standing::kHeard;
   }
   const auto watched = mWatched.find(aNode);
@@ -75,7 +75,7 @@
     return Standing::kUnknown;
   }
   // After a pause of this process everybody seems silent; they have to be heard anew first.
-  const TimePoint since = std::max({ watched->second, peer->mHeard, mWoke });
+  const TimePoint since = std::max({ watched->second, peer->mLastHeard, mWoke });
   return aNow - since < mOptions.mSilence ? Standing::kUnknown : Standing::kSilent;
 }
 
@@ -88,7 +88,7 @@
 
 std::vector<std::string>
 NodeTree::Select(const std::vector<std::string>& aOrder,
-                 const PeerBook& aPeers,
+                 const PeerTable& aPeers,
                  const OwnState* aOwn,
                  TimePoint aNow)
 {
@@ -117,7 +117,7 @@
 }
 
 void
-NodeTree::ChooseReader(const PeerBook& aPeers, const OwnState& aOwn, TimePoint aNow)
+NodeTree::ChooseReader(const PeerTable& aPeers, const OwnState& aOwn, TimePoint aNow)
 {
   mReader.clear();
   mCandidate = false;
@@ -158,7 +158,7 @@
 }
 
 void
-NodeTree::ChooseOthers(const PeerBook& aPeers, TimePoint aNow)
+NodeTree::ChooseOthers(const PeerTable& aPeers, TimePoint aNow)
 {
   mOthers.clear();
   if (!mUpper) {
@@ -178,7 +178,7 @@
 }
 
 void
-NodeTree::Choose(const PeerBook& aPeers, const OwnState& aOwn, TimePoint aNow)
+NodeTree::Choose(const PeerTable& aPeers, const OwnState& aOwn, TimePoint aNow)
 {
   mWanted.clear();
   const auto selected = Select(mOrders[mScope], aPeers, &aOwn, aNow);
@@ -217,7 +217,7 @@
 }
 
 void
-NodeTree::Tick(const PeerBook& aPeers, const OwnState& aOwn, TimePoint aNow)
+NodeTree::Tick(const PeerTable& aPeers, const OwnState& aOwn, TimePoint aNow)
 {
   if (aNow - mTicked > mOptions.mSilence / 2) {
     mWoke = aNow;
--- a/src/pepperbay/coordinator/node_tree.hpp
+++ b/src/pepperbay/coordinator/node_tree.hpp
@@ -14,7 +14,7 @@
 /// cost a few messages and no more.
 #pragma once
 
-#include "peer_book.hpp"
+#include "peer_table.hpp"
 
 #include <map>
 #include <set>
@@ -61,7 +61,7 @@
   explicit NodeTree(NodeTreeOptions aOptions);
 
   /// Look at who is there; call every tick.
-  void Tick(const PeerBook& aPeers, const OwnState& aOwn, TimePoint aNow);
+  void Tick(const PeerTable& aPeers, const OwnState& aOwn, TimePoint aNow);
 
   /// Nodes to write to at this heartbeat; they answer. Call once a heartbeat: one that is silent is
   /// named in one heartbeat a second.
@@ -93,16 +93,16 @@
     kSilent,
   };
 
-  void Rank(const PeerBook& aPeers);
-  void Choose(const PeerBook& aPeers, const OwnState& aOwn, TimePoint aNow);
-  void ChooseOthers(const PeerBook& aPeers, TimePoint aNow);
-  void ChooseReader(const PeerBook& aPeers, const OwnState& aOwn, TimePoint aNow);
-  Standing StandingOf(const std::string& aNode, const PeerBook& aPeers, TimePoint aNow) const;
+  void Rank(const PeerTable& aPeers);
+  void Choose(const PeerTable& aPeers, const OwnState& aOwn, TimePoint aNow);
+  void ChooseOthers(const PeerTable& aPeers, TimePoint aNow);
+  void ChooseReader(const PeerTable& aPeers, const OwnState& aOwn, TimePoint aNow);
+  Standing StandingOf(const std::string& aNode, const PeerTable& aPeers, TimePoint aNow) const;
   /// Write to a node from now on.
   void Watch(const std::string& aNode, TimePoint aNow);
   /// The best of a ranking that are not silent and do not stop; silent ones before are tried again.
   std::vector<std::string> Select(const std::vector<std::string>& aOrder,
-                                  const PeerBook& aPeers,
+                                  const PeerTable& aPeers,
                                   const OwnState* aOwn,
                                   TimePoint aNow);
 
--- a/src/pepperbay/coordinator/peer_book.cpp
+++ b/src/pepperbay/coordinator/peer_table.cpp
@@ -1,4 +1,4 @@
-#include "peer_book.hpp"
+#include "peer_table.hpp"
 
 #include "pepperbay/base/hash.hpp"
 
@@ -7,14 +7,14 @@
 
 namespace pepperbay {
 
-PeerBook::PeerBook(std::string aSelf, Duration aSilence)
+PeerTable::PeerTable(std::string aSelf, Duration aSilence)
   : mSelf(std::move(aSelf))
   , mSilence(aSilence)
 {
 }
 
 void
-PeerBook::OnRecord(const proto::NodeRecord& aRecord)
+PeerTable::OnRecord(const proto::NodeRecord& aRecord)
 {
   if (aRecord.node() == mSelf) {
     return;
@@ -26,7 +26,7 @@
   peer = KnownPeer{};
   peer.mIncarnation = aRecord.incarnation();
   peer.mAddress = aRecord.address();
-  peer.mDeskAddress = aRecord.desk_address();
+  peer.mAllocatorAddress = aRecord.desk_address();
   peer.mTunnelAddress = aRecord.tunnel_address();
   peer.mTunnelKey = aRecord.tunnel_key();
   peer.mDataCentre = aRecord.data_centre();
@@ -35,25 +35,25 @@
 }
 
 void
-PeerBook::OnGone(const std::string& aNode)
+PeerTable::OnGone(const std::string& aNode)
 {
   mPeers.erase(aNode);
   ++mRevision;
 }
 
 void
-PeerBook::OnBeat(const std::string& aNode, const proto::Beat& aBeat, TimePoint aNow)
+PeerTable::OnBeat(const std::string& aNode, const proto::Beat& aBeat, TimePoint aNow)
 {
   KnownPeer& peer = mPeers[aNode];
-  peer.mHeard = aNow;
+  peer.mLastHeard = aNow;
   if (aBeat.wants_answer()) {
-    peer.mWrote = aNow;
+    peer.mLastAnswerWanted = aNow;
   }
   peer.mBeat = aBeat;
 }
 
 Duration
-PeerBook::NoteBehind(const std::string& aNode, bool aBehind, TimePoint aNow)
+PeerTable::NoteBehind(const std::string& aNode, bool aBehind, TimePoint aNow)
 {
   const auto it = mPeers.find(aNode);
   if (it == mPeers.end() || !aBehind) {
@@ -69,27 +69,27 @@
 }
 
 bool
-PeerBook::IsCurrent(const proto::PeerMessage& aMessage) const
+PeerTable::IsCurrent(const proto::PeerMessage& aMessage) const
 {
   const KnownPeer* peer = Find(aMessage.node());
   return peer != nullptr && peer->mIncarnation == aMessage.incarnation();
 }
 
 bool
-PeerBook::Alive(const KnownPeer& aPeer, TimePoint aNow) const
+PeerTable::Alive(const KnownPeer& aPeer, TimePoint aNow) const
 {
-  return aPeer.mHeard != TimePoint{} && aNow - aPeer.mHeard < mSilence;
+  return aPeer.mLastHeard != TimePoint{} && aNow - aPeer.mLastHeard < mSilence;
 }
 
 const KnownPeer*
-PeerBook::Find(const std::string& aNode) const
+PeerTable::Find(const std::string& aNode) const
 {
   const auto it = mPeers.find(aNode);
   return it == mPeers.end() ? nullptr : &it->second;
 }
 
 bool
-PeerBook::HasStronger(int aCpuPermille, TimePoint aNow) const
+PeerTable::HasStronger(int aCpuPermille, TimePoint aNow) const
 {
   constexpr int kRatio = 2;
   return aCpuPermille > 0 && std::any_of(mPeers.begin(), mPeers.end(), [&](const auto& aPeer) {
@@ -100,7 +100,7 @@
 }
 
 void
-PeerBook::OnUnreached(const std::set<std::uint32_t>& aShortIds, TimePoint aNow)
+PeerTable::OnUnreached(const std::set<std::uint32_t>& aShortIds, TimePoint aNow)
 {
   for (auto& [name, peer] : mPeers) {
     if (aShortIds.count(ShortId(name)) != 0) {
@@ -110,15 +110,15 @@
 }
 
 bool
-PeerBook::Unreached(const KnownPeer& aPeer, TimePoint aNow) const
+PeerTable::Unreached(const KnownPeer& aPeer, TimePoint aNow) const
 {
-  const bool told =
+  const bool reported =
     aPeer.mReportedUnreached != TimePoint{} && aNow - aPeer.mReportedUnreached < mSilence;
-  return Alive(aPeer, aNow) ? aPeer.mBeat.unreached() : told;
+  return Alive(aPeer, aNow) ? aPeer.mBeat.unreached() : reported;
 }
 
 ProxyPeers
-PeerBook::Proxies(TimePoint aNow) const
+PeerTable::Proxies(TimePoint aNow) const
 {
   ProxyPeers proxies;
   for (const auto& [name, peer] : mPeers) {
@@ -131,11 +131,11 @@
 }
 
 std::vector<std::string>
-PeerBook::Correspondents(TimePoint aNow) const
+PeerTable::Correspondents(TimePoint aNow) const
 {
   std::vector<std::string> names;
   for (const auto& [name, peer] : mPeers) {
-    if (peer.mWrote != TimePoint{} && aNow - peer.mWrote < mSilence) {
+    if (peer.mLastAnswerWanted != TimePoint{} && aNow - peer.mLastAnswerWanted < mSilence) {
       names.push_back(name);
     }
   }
--- a/src/pepperbay/coordinator/peer_book.hpp
+++ b/src/pepperbay/coordinator/peer_table.hpp
@@ -18,14 +18,14 @@
 struct KnownPeer
 {
   std::uint64_t mIncarnation = 0;
-  std::string mAddress;       ///< where it hears its peers
-  std::string mDeskAddress;   ///< where its place desk hears others
-  std::string mTunnelAddress; ///< where it carries connections to engines; empty: it does not
+  std::string mAddress;          ///< where it hears its peers
+  std::string mAllocatorAddress; ///< where its place desk hears others
+  std::string mTunnelAddress;    ///< where it carries connections to engines; empty: it does not
   std::string mTunnelKey;
   TimePoint mReportedUnreached{}; ///< another node has last said that it reaches no engine
-  TimePoint mHeard{}; ///< receipt of its last heartbeat; the zero time when there was none
+  TimePoint mLastHeard{}; ///< receipt of its last heartbeat; the zero time when there was none
   /// Receipt of its last heartbeat that asked for an answer; the zero time when there was none.
-  TimePoint mWrote{};
+  TimePoint mLastAnswerWanted{};
   int mCpuPermille = 0;
   std::string mDataCentre;
   /// Since when its heartbeats have named an older configuration than is in force here.
@@ -33,10 +33,10 @@
   proto::Beat mBeat; ///< the last
 };
 
-class PeerBook
+class PeerTable
 {
 public:
-  PeerBook(std::string aSelf, Duration aSilence);
+  PeerTable(std::string aSelf, Duration aSilence);
 
   /// The store lists a node.
   void OnRecord(const proto::NodeRecord& aRecord);
--- a/src/pepperbay/coordinator/plan_builder.hpp
+++ b/src/pepperbay/coordinator/plan_builder.hpp
@@ -2,7 +2,7 @@
 /// @brief From what the control thread knows to what traffic threads may use. Pure.
 #pragma once
 
-#include "peer_book.hpp"
+#include "peer_table.hpp"
 #include "pepperbay/membership/engine_directory.hpp"
 #include "pepperbay/placement/group_planner.hpp"
 #include "pepperbay/routing/traffic_plan.hpp"
--- a/src/pepperbay/coordinator/rate_leases.cpp
+++ b/src/pepperbay/coordinator/rate_leases.cpp
@@ -11,19 +11,19 @@
 
 } // namespace
 
-RateLeaseBook::RateLeaseBook(RateLeaseOptions aOptions)
+RateLeaseTable::RateLeaseTable(RateLeaseOptions aOptions)
   : mOptions(aOptions)
 {
 }
 
 TimePoint
-RateLeaseBook::EndOf(TimePoint aGiven) const
+RateLeaseTable::EndOf(TimePoint aGranted) const
 {
-  return aGiven + mOptions.mLength + mOptions.mLength * mOptions.mDriftPermille / kPermille;
+  return aGranted + mOptions.mLength + mOptions.mLength * mOptions.mDriftPermille / kPermille;
 }
 
 void
-RateLeaseBook::Begin(std::uint64_t aFence, TimePoint aNow)
+RateLeaseTable::Begin(std::uint64_t aFence, TimePoint aNow)
 {
   if (aFence == mFence) {
     return;
@@ -34,12 +34,12 @@
 }
 
 std::size_t
-RateLeaseBook::MostFollowers(Entry* aEntry, TimePoint aNow) const
+RateLeaseTable::MaxFollowers(Entry* aEntry, TimePoint aNow) const
 {
   std::size_t most = 0;
-  for (auto it = aEntry->mAskers.begin(); it != aEntry->mAskers.end();) {
-    if (aNow - it->second.mAt > mOptions.mContest) {
-      it = aEntry->mAskers.erase(it);
+  for (auto it = aEntry->mRequesters.begin(); it != aEntry->mRequesters.end();) {
+    if (aNow - it->second.mAt > mOptions.mContestWindow) {
+      it = aEntry->mRequesters.erase(it);
       continue;
     }
     most = std::max(most, it->second.mFollowers);
@@ -49,33 +49,34 @@
 }
 
 std::vector<std::string>
-RateLeaseBook::Give(const RateLeaseAsker& aAsker,
-                    const std::vector<std::string>& aDataCentres,
-                    TimePoint aNow)
+RateLeaseTable::Grant(const RateLeaseRequester& aRequester,
+                      const std::vector<std::string>& aDataCentres,
+                      TimePoint aNow)
 {
-  std::vector<std::string> given;
+  std::vector<std::string> granted;
   for (const auto& it : aDataCentres) {
     Entry& entry = mEntries[it];
-    entry.mAskers[aAsker.mNode] = { aAsker.mFollowers, aNow };
-    const bool own = entry.mNode == aAsker.mNode && entry.mIncarnation == aAsker.mIncarnation;
+    entry.mRequesters[aRequester.mNode] = { aRequester.mFollowers, aNow };
+    const bool own =
+      entry.mNode == aRequester.mNode && entry.mIncarnation == aRequester.mIncarnation;
     const bool free = aNow >= mFrom && (own || aNow >= entry.mUntil);
-    const bool outdone = MostFollowers(&entry, aNow) > kFollowedRatio * aAsker.mFollowers;
-    if (!free || outdone) {
+    const bool outranked = MaxFollowers(&entry, aNow) > kFollowedRatio * aRequester.mFollowers;
+    if (!free || outranked) {
       continue;
     }
-    entry.mNode = aAsker.mNode;
-    entry.mIncarnation = aAsker.mIncarnation;
+    entry.mNode = aRequester.mNode;
+    entry.mIncarnation = aRequester.mIncarnation;
     entry.mUntil = EndOf(aNow);
-    given.push_back(it);
+    granted.push_back(it);
   }
-  return given;
+  return granted;
 }
 
 void
-RateLeaseHold::OnGiven(const std::vector<std::string>& aDataCentres,
-                       TimePoint aAskedAt,
-                       Duration aLength,
-                       TimePoint aNow)
+HeldRateLeases::OnGranted(const std::vector<std::string>& aDataCentres,
+                          TimePoint aAskedAt,
+                          Duration aLength,
+                          TimePoint aNow)
 {
   if (aAskedAt > aNow || aNow - aAskedAt >= aLength) {
     return;
@@ -92,7 +93,7 @@
 }
 
 RateLeases
-RateLeaseHold::Current(TimePoint aNow)
+HeldRateLeases::Current(TimePoint aNow)
 {
   for (auto it = mLeases.begin(); it != mLeases.end();) {
     it = aNow >= it->second.mUntil ? mLeases.erase(it) : std::next(it);
--- a/src/pepperbay/coordinator/rate_leases_test.cpp
+++ b/src/pepperbay/coordinator/rate_leases_test.cpp
@@ -17,59 +17,59 @@
 
 TEST(RateLeases, OneNodeCountsInADataCentreUntilItsTimeHasRunOut)
 {
-  RateLeaseBook book;
+  RateLeaseTable book;
   book.Begin(1, kStart);
   TimePoint now = kStart + seconds(2);
-  EXPECT_EQ(book.Give({ "d1", 1, 5 }, { "a", "b" }, now), (Centres{ "a", "b" }));
-  EXPECT_EQ(book.Give({ "d2", 1, 5 }, { "a", "c" }, now), (Centres{ "c" }));
+  EXPECT_EQ(book.Grant({ "d1", 1, 5 }, { "a", "b" }, now), (Centres{ "a", "b" }));
+  EXPECT_EQ(book.Grant({ "d2", 1, 5 }, { "a", "c" }, now), (Centres{ "c" }));
   now += milliseconds(900);
-  EXPECT_EQ(book.Give({ "d1", 1, 5 }, { "a" }, now), (Centres{ "a" }));
+  EXPECT_EQ(book.Grant({ "d1", 1, 5 }, { "a" }, now), (Centres{ "a" }));
   now += milliseconds(1010);
-  EXPECT_EQ(book.Give({ "d2", 1, 5 }, { "a" }, now), Centres{}) << "a slow clock may run on";
+  EXPECT_EQ(book.Grant({ "d2", 1, 5 }, { "a" }, now), Centres{}) << "a slow clock may run on";
   now += milliseconds(10);
-  EXPECT_EQ(book.Give({ "d2", 1, 5 }, { "a" }, now), (Centres{ "a" }));
+  EXPECT_EQ(book.Grant({ "d2", 1, 5 }, { "a" }, now), (Centres{ "a" }));
 }
 
 /// Guards against two nodes that count when the holder of the lease changes.
 TEST(RateLeases, ANewHolderWaitsForWhatTheLastOneGave)
 {
-  RateLeaseBook book;
+  RateLeaseTable book;
   book.Begin(7, kStart);
-  EXPECT_EQ(book.Give({ "d1", 1, 5 }, { "a" }, kStart + milliseconds(1019)), Centres{});
-  EXPECT_EQ(book.Give({ "d1", 1, 5 }, { "a" }, kStart + milliseconds(1020)), Centres{ "a" });
+  EXPECT_EQ(book.Grant({ "d1", 1, 5 }, { "a" }, kStart + milliseconds(1019)), Centres{});
+  EXPECT_EQ(book.Grant({ "d1", 1, 5 }, { "a" }, kStart + milliseconds(1020)), Centres{ "a" });
   book.Begin(7, kStart + seconds(2));
-  EXPECT_EQ(book.Give({ "d1", 1, 5 }, { "a" }, kStart + seconds(2)), Centres{ "a" });
+  EXPECT_EQ(book.Grant({ "d1", 1, 5 }, { "a" }, kStart + seconds(2)), Centres{ "a" });
   book.Begin(9, kStart + seconds(2));
-  EXPECT_EQ(book.Give({ "d1", 1, 5 }, { "a" }, kStart + seconds(2)), Centres{});
+  EXPECT_EQ(book.Grant({ "d1", 1, 5 }, { "a" }, kStart + seconds(2)), Centres{});
 }
 
 /// Guards against a desk that only one cut-off node follows keeping the right from all others.
 TEST(RateLeases, ADeskThatFewFollowGivesWayToOneThatMostFollow)
 {
-  RateLeaseBook book;
+  RateLeaseTable book;
   book.Begin(1, kStart);
   TimePoint now = kStart + seconds(2);
-  EXPECT_EQ(book.Give({ "few", 1, 1 }, { "a" }, now), Centres{ "a" });
+  EXPECT_EQ(book.Grant({ "few", 1, 1 }, { "a" }, now), Centres{ "a" });
   bool given = false;
   for (int i = 0; i < 8 && !given; ++i) {
     now += milliseconds(200);
-    given = !book.Give({ "most", 1, 24 }, { "a" }, now).empty();
+    given = !book.Grant({ "most", 1, 24 }, { "a" }, now).empty();
     if (!given) {
-      book.Give({ "few", 1, 1 }, { "a" }, now);
+      book.Grant({ "few", 1, 1 }, { "a" }, now);
     }
   }
   EXPECT_TRUE(given);
-  EXPECT_EQ(book.Give({ "few", 1, 1 }, { "a" }, now + seconds(1)), Centres{});
+  EXPECT_EQ(book.Grant({ "few", 1, 1 }, { "a" }, now + seconds(1)), Centres{});
 }
 
 TEST(RateLeases, WhatIsGivenLateIsNotTaken)
 {
-  RateLeaseHold hold;
-  hold.OnGiven({ "a" }, kStart, seconds(1), kStart + seconds(1));
+  HeldRateLeases hold;
+  hold.OnGranted({ "a" }, kStart, seconds(1), kStart + seconds(1));
   EXPECT_TRUE(hold.Current(kStart + seconds(1)).empty());
-  hold.OnGiven({ "a" }, kStart + seconds(5), seconds(1), kStart + seconds(2));
+  hold.OnGranted({ "a" }, kStart + seconds(5), seconds(1), kStart + seconds(2));
   EXPECT_TRUE(hold.Current(kStart + seconds(2)).empty()) << "no question of this process";
-  hold.OnGiven({ "a" }, kStart + seconds(3), seconds(1), kStart + milliseconds(3900));
+  hold.OnGranted({ "a" }, kStart + seconds(3), seconds(1), kStart + milliseconds(3900));
   const auto leases = hold.Current(kStart + milliseconds(3950));
   ASSERT_EQ(leases.count("a"), 1U);
   EXPECT_EQ(leases.at("a").mSince, kStart + milliseconds(3900));
@@ -79,11 +79,11 @@
 
 TEST(RateLeases, ARightThatWasRenewedInTimeHasNoBreak)
 {
-  RateLeaseHold hold;
-  hold.OnGiven({ "a" }, kStart, seconds(1), kStart);
-  hold.OnGiven({ "a" }, kStart + milliseconds(800), seconds(1), kStart + milliseconds(900));
+  HeldRateLeases hold;
+  hold.OnGranted({ "a" }, kStart, seconds(1), kStart);
+  hold.OnGranted({ "a" }, kStart + milliseconds(800), seconds(1), kStart + milliseconds(900));
   EXPECT_EQ(hold.Current(kStart + milliseconds(1500)).at("a").mSince, kStart);
-  hold.OnGiven({ "a" }, kStart + seconds(3), seconds(1), kStart + seconds(3));
+  hold.OnGranted({ "a" }, kStart + seconds(3), seconds(1), kStart + seconds(3));
   EXPECT_EQ(hold.Current(kStart + seconds(3)).at("a").mSince, kStart + seconds(3));
 }
 
@@ -95,7 +95,7 @@
   struct Desk
   {
     std::uint64_t mIncarnation = 1;
-    RateLeaseHold mHold;
+    HeldRateLeases mHold;
     TimePoint mFrozenUntil{};
   };
   struct Message
@@ -110,7 +110,7 @@
   const auto chance = [&](int aPercent) { return static_cast<int>(random() % 100) < aPercent; };
   const auto upTo = [&](int aMs) { return milliseconds(random() % static_cast<unsigned>(aMs)); };
   std::vector<Desk> desks(4);
-  std::vector<RateLeaseBook> holders(2);
+  std::vector<RateLeaseTable> holders(2);
   std::size_t holder = 0;
   std::uint64_t fence = 1;
   std::deque<Message> wire;
@@ -144,12 +144,12 @@
         wire.push_back(message);
       } else if (message.mGiven) {
         if (desk.mIncarnation == message.mIncarnation) {
-          desk.mHold.OnGiven(*message.mGiven, message.mAskedAt, seconds(1), now);
+          desk.mHold.OnGranted(*message.mGiven, message.mAskedAt, seconds(1), now);
         }
       } else {
         holders[holder].Begin(fence, now);
-        const RateLeaseAsker asker{ std::to_string(message.mDesk), message.mIncarnation, 3 };
-        message.mGiven = holders[holder].Give(asker, { "a" }, now);
+        const RateLeaseRequester asker{ std::to_string(message.mDesk), message.mIncarnation, 3 };
+        message.mGiven = holders[holder].Grant(asker, { "a" }, now);
         message.mArrives = now + (chance(10) ? upTo(3000) : upTo(50));
         wire.push_back(message);
       }
--- a/src/pepperbay/edge/edge_node.cpp
+++ b/src/pepperbay/edge/edge_node.cpp
@@ -283,7 +283,7 @@
     options.mIncarnation = mIncarnation;
     options.mDataCentre = mSettings.mDataCentre;
     options.mAddress = mSettings.mPeers;
-    options.mDeskAddress = mSettings.mDesk;
+    options.mAllocatorAddress = mSettings.mDesk;
     options.mTunnelAddress = mSettings.mTunnel;
     options.mTunnelKey = mTunnelKey;
     options.mCpuPermille = static_cast<int>(mSettings.mCpuCores * kPermille);
