--- a/include/pepperbay/coordinator/coordinator.hpp
+++ b/include/pepperbay/coordinator/coordinator.hpp
@@ -60,9 +60,9 @@
   Duration mConfigWait = std::chrono::milliseconds(700);
   /// A store that does not answer a node which doubts what it is told is asked again after this,
   /// and then after twice the time up to mBounds.mLookAgainMost.
-  Duration mLookAgainFirst = std::chrono::milliseconds(400);
+  Duration mMinDirectReadPause = std::chrono::milliseconds(400);
   /// The same for a node that is told all by others: it asks only whether the store is back.
-  Duration mProbeMost = std::chrono::seconds(5);
+  Duration mMaxOutageProbePause = std::chrono::seconds(5);
   /// How long the store holds a read of registrations. A connection that has gone silent shows by
   /// a read that is not answered after it and a second more, which together have to be below the
   /// time in which a node must stop sending to an engine that leaves.
--- a/include/pepperbay/coordinator/coordinator_bounds.hpp
+++ b/include/pepperbay/coordinator/coordinator_bounds.hpp
@@ -19,12 +19,12 @@
   /// A node whose configuration was the newest so long ago, as far as it can show, reads the store
   /// itself: above what it is while the reader is well and one heartbeat is lost, and well below
   /// the time in which a configuration must be in force everywhere. The same for registrations.
-  Duration mLookAfter = std::chrono::milliseconds(1200);
-  Duration mEnginesLookAfter = std::chrono::milliseconds(1600);
+  Duration mDirectReadAfter = std::chrono::milliseconds(1200);
+  Duration mEnginesDirectReadAfter = std::chrono::milliseconds(1600);
   /// Longest pause between two such reads that the store does not answer. With a call that ends
   /// after a second it has to stay below the time in which a node that the store answers again must
   /// be in step.
-  Duration mLookAgainMost = std::chrono::seconds(1);
+  Duration mMaxDirectReadPause = std::chrono::seconds(1);
 };
 
 /// What operators promise; each counts from the store's acknowledgement.
--- a/scripts/mutants/late.sh
+++ b/scripts/mutants/late.sh
@@ -3,7 +3,7 @@
 # shellcheck shell=bash disable=SC2154
 c=$s/coordinator
 mutant "the pause between looks has one bound for all" $c/coordinator_logs.cpp \
-  's/old \? mOptions.mBounds.mLookAgainMost : mOptions.mProbeMost/mOptions.mProbeMost/' \
+  's/old \? mOptions.mBounds.mMaxDirectReadPause : mOptions.mMaxOutageProbePause/mOptions.mMaxOutageProbePause/' \
   coordinator_coordinator_readers_test '*AnswersAgainIsInTime*'
 mutant "a list that is needed waits for the next look" $c/coordinator_logs.cpp \
   's/if \(FollowerOf\(log\).NeedsList\(\)\)/if (!FollowerOf(log).HasList())/' \
--- a/scripts/mutants/limits.sh
+++ b/scripts/mutants/limits.sh
@@ -41,6 +41,6 @@
 mutant "the right counts from when its answer comes" $s/coordinator/rate_leases.cpp \
   's/const TimePoint until = aAskedAt \+ aLength;/const TimePoint until = aNow + aLength;/' $leases '*AtMostOne*:*GivenLate*'
 mutant "a desk that few follow keeps the right" $s/coordinator/rate_leases.cpp \
-  's/if \(!free \|\| outdone\)/if (!free)/; s/const bool outdone/[[maybe_unused]] const bool outdone/' $leases '*FewFollow*'
+  's/if \(!free \|\| outranked\)/if (!free)/; s/const bool outranked/[[maybe_unused]] const bool outranked/' $leases '*FewFollow*'
 mutant "bulk goes before those who wait" $places/rate_ledger.cpp \
   's/!queue->second.mTurns.IsOutranked\(aClaimant, aNow\);/true;/' $ledger '*BulkWaits*'
--- a/scripts/mutants/shared_pool.sh
+++ b/scripts/mutants/shared_pool.sh
@@ -109,10 +109,10 @@
   's/<= aOwn\[i\]/<= aOwn[i] + 1/' \
   coordinator_coordinator_freshness_test '*AnAgeOfALog*'
 mutant "a node whose view is old waits for its reader" $s/coordinator/coordinator_logs.cpp \
-  's/if \(LooksAtConfiguration\(\)\) \{/if (false) {/; s/const bool looks = LooksAtEngines\(\);/const bool looks = false;/' \
+  's/if \(ReadsConfigurationDirectly\(\)\) \{/if (false) {/; s/const bool looks = ReadsEnginesDirectly\(\);/const bool looks = false;/' \
   coordinator_coordinator_readers_test '*ReadersThatHearNothing*'
 mutant "registrations have no age" $s/coordinator/coordinator_logs.cpp \
-  's/const bool old = age >= mOptions.mBounds.mEnginesLookAfter;/const bool old = false;/' coordinator_coordinator_readers_test '*OnlyItsLogIsSilent*'
+  's/const bool old = age >= mOptions.mBounds.mEnginesDirectReadAfter;/const bool old = false;/' coordinator_coordinator_readers_test '*OnlyItsLogIsSilent*'
 mutant "a node that the store did not answer asks no more" $s/coordinator/coordinator_logs.cpp \
   's/if \(!old && !StoreLost\(\)\)/if (!old)/' coordinator_coordinator_readers_test '*MayReadAgain*'
 mutant "news are not passed on" $s/coordinator/coordinator_peers.cpp \
--- a/src/pepperbay/coordinator/coordinator.cpp
+++ b/src/pepperbay/coordinator/coordinator.cpp
@@ -32,14 +32,14 @@
 
 /// @param aBetween pause between two reads that the owner of the follower keeps
 KeyedFollowerOptions
-HeldReads(Duration aWait, Duration aPause, Duration aBetween = Duration::zero())
+LongPollOptions(Duration aWait, Duration aPause, Duration aBetween = Duration::zero())
 {
   /// A store that is slow still answers within this.
-  constexpr std::chrono::milliseconds kSlow{ 300 };
+  constexpr std::chrono::milliseconds kSlowStoreMargin{ 300 };
   KeyedFollowerOptions options;
   options.mWait = aWait;
   options.mPause = aPause;
-  options.mMostGap = aWait + aBetween + kSlow;
+  options.mMostGap = aWait + aBetween + kSlowStoreMargin;
   return options;
 }
 
@@ -106,7 +106,7 @@
       return "holder";
     case StoreCallReason::kMissed:
       return "missed";
-    case StoreCallReason::kDoubt:
+    case StoreCallReason::kStale:
       return "doubt";
     case StoreCallReason::kList:
       return "list";
@@ -117,7 +117,7 @@
 Coordinator::Impl::Impl(CoordinatorOptions aOptions, CoordinatorHooks aHooks)
   : mOptions(std::move(aOptions))
   , mHooks(std::move(aHooks))
-  , mConfigFollower(HeldReads(mOptions.mConfigWait, std::chrono::milliseconds(50)),
+  , mConfigFollower(LongPollOptions(mOptions.mConfigWait, std::chrono::milliseconds(50)),
                     mHooks.mConfigLog,
                     Events(
                       FollowedLog::kConfiguration,
@@ -128,7 +128,7 @@
                       },
                       [this](const KeyedRecord& aRecord) { OnConfiguration(aRecord); }),
                     mHooks.mNow)
-  , mEngineFollower(HeldReads(mOptions.mEngineWait, Duration::zero(), mOptions.mReaderPause),
+  , mEngineFollower(LongPollOptions(mOptions.mEngineWait, Duration::zero(), mOptions.mReaderPause),
                     mHooks.mEngineLog,
                     Events(
                       FollowedLog::kEngines,
@@ -164,8 +164,8 @@
                 },
                 mHooks.mLog })
   , mTree({ mOptions.mNode, mOptions.mDataCentre, mOptions.mCpuPermille })
-  , mConfigurationLook(mOptions.mLookAgainFirst, mOptions.mProbeMost)
-  , mEnginesLook(mOptions.mLookAgainFirst, mOptions.mProbeMost)
+  , mConfigurationBackoff(mOptions.mMinDirectReadPause, mOptions.mMaxOutageProbePause)
+  , mEnginesBackoff(mOptions.mMinDirectReadPause, mOptions.mMaxOutageProbePause)
   , mGrantedRateLeases(mOptions.mRateLeases)
   , mGrantedRetryLeases(mOptions.mRateLeases)
 {
@@ -194,7 +194,7 @@
   const char* const name = NameOf(aLog);
   KeyedFollowerEvents events;
   events.mOnTail = [this, aLog](std::uint64_t aFrom, const KeyedTail& aTail) {
-    PassOn(aLog, aFrom, aTail);
+    ForwardRecords(aLog, aFrom, aTail);
   };
   events.mOnList = std::move(aOnList);
   events.mOnRecord = std::move(aOnRecord);
--- a/src/pepperbay/coordinator/coordinator_bounds.cpp
+++ b/src/pepperbay/coordinator/coordinator_bounds.cpp
@@ -10,17 +10,17 @@
 constexpr std::chrono::milliseconds kRevokeMargin{ 1200 };
 /// What is known through a reader that is well is up to this old; nodes that looked sooner would
 /// all read the store all the time.
-constexpr Duration kLeastLookAfter = std::chrono::milliseconds(1100);
+constexpr Duration kMinDirectReadAfter = std::chrono::milliseconds(1100);
 /// All nodes ask so often in an outage of the store.
-constexpr Duration kLeastLookAgain = std::chrono::milliseconds(400);
-constexpr double kLookPart = 0.6;
-constexpr double kEnginesLookPart = 0.8;
-constexpr double kLookAgainPart = 0.5;
+constexpr Duration kMinDirectReadPause = std::chrono::milliseconds(400);
+constexpr double kDirectReadFraction = 0.6;
+constexpr double kEnginesDirectReadFraction = 0.8;
+constexpr double kDirectReadPauseFraction = 0.5;
 
 Duration
-PartOf(Duration aWhole, double aPart)
+FractionOf(Duration aWhole, double aFraction)
 {
-  return std::chrono::duration_cast<Duration>(aWhole * aPart);
+  return std::chrono::duration_cast<Duration>(aWhole * aFraction);
 }
 
 } // namespace
@@ -31,9 +31,12 @@
   CoordinatorBounds bounds;
   bounds.mKeysTrusted = aWithin.mRevocation - kRevokeMargin;
   bounds.mMissesTrusted = aWithin.mConfiguration;
-  bounds.mLookAfter = std::max(kLeastLookAfter, PartOf(aWithin.mConfiguration, kLookPart));
-  bounds.mEnginesLookAfter = std::max(kLeastLookAfter, PartOf(aWithin.mLeave, kEnginesLookPart));
-  bounds.mLookAgainMost = std::max(kLeastLookAgain, PartOf(aWithin.mConfiguration, kLookAgainPart));
+  bounds.mDirectReadAfter =
+    std::max(kMinDirectReadAfter, FractionOf(aWithin.mConfiguration, kDirectReadFraction));
+  bounds.mEnginesDirectReadAfter =
+    std::max(kMinDirectReadAfter, FractionOf(aWithin.mLeave, kEnginesDirectReadFraction));
+  bounds.mMaxDirectReadPause =
+    std::max(kMinDirectReadPause, FractionOf(aWithin.mConfiguration, kDirectReadPauseFraction));
   return bounds;
 }
 
--- a/src/pepperbay/coordinator/coordinator_freshness_test.cpp
+++ b/src/pepperbay/coordinator/coordinator_freshness_test.cpp
@@ -109,19 +109,19 @@
 TEST(CoordinatorBoundsTest, FollowFromThePromises)
 {
   const CoordinatorBounds usual = BoundsOf(InForceWithin{});
-  EXPECT_EQ(usual.mLookAfter, milliseconds(1200));
-  EXPECT_EQ(usual.mEnginesLookAfter, milliseconds(1600));
-  EXPECT_EQ(usual.mLookAgainMost, seconds(1));
+  EXPECT_EQ(usual.mDirectReadAfter, milliseconds(1200));
+  EXPECT_EQ(usual.mEnginesDirectReadAfter, milliseconds(1600));
+  EXPECT_EQ(usual.mMaxDirectReadPause, seconds(1));
   EXPECT_EQ(usual.mMissesTrusted, seconds(2));
   for (const milliseconds within : { seconds(2), seconds(4), seconds(3600) }) {
     const CoordinatorBounds bounds = BoundsOf({ within, within, within });
-    EXPECT_LT(bounds.mLookAfter, within);
-    EXPECT_LT(bounds.mEnginesLookAfter, within);
-    EXPECT_LT(bounds.mLookAgainMost, within);
+    EXPECT_LT(bounds.mDirectReadAfter, within);
+    EXPECT_LT(bounds.mEnginesDirectReadAfter, within);
+    EXPECT_LT(bounds.mMaxDirectReadPause, within);
   }
   const CoordinatorBounds least = BoundsOf({ milliseconds(1), milliseconds(1), milliseconds(1) });
-  EXPECT_GE(least.mLookAfter, seconds(1));
-  EXPECT_GE(least.mLookAgainMost, milliseconds(400));
+  EXPECT_GE(least.mDirectReadAfter, seconds(1));
+  EXPECT_GE(least.mMaxDirectReadPause, milliseconds(400));
 }
 
 } // namespace
--- a/src/pepperbay/coordinator/coordinator_impl.hpp
+++ b/src/pepperbay/coordinator/coordinator_impl.hpp
@@ -2,11 +2,11 @@
 /// @brief The state of a coordinator; its parts are in files by what they do.
 #pragma once
 
+#include "direct_read_backoff.hpp"
 #include "engine_calls.hpp"
 #include "engine_suspicions.hpp"
 #include "freshness_tracker.hpp"
 #include "log_reads.hpp"
-#include "look_pause.hpp"
 #include "node_tree.hpp"
 #include "peer_table.hpp"
 #include "pepperbay/coordinator/coordinator.hpp"
@@ -28,7 +28,7 @@
   kReader, ///< it reads for others, or nobody reads for it
   kHolder, ///< it holds the lease and needs registrations at once
   kMissed, ///< records that its reader has told of have not come
-  kDoubt,  ///< what it is told is too old, or the store has to show that it is back
+  kStale,  ///< what it is told is too old, or the store has to show that it is back
   kList,   ///< a page of the list
 };
 
@@ -108,7 +108,7 @@
   /// held read takes.
   bool AsksFreshness() const;
   /// Give a peer that asks and has an older configuration the one in force here.
-  void PassConfiguration(const std::string& aAsker, const proto::Beat& aBeat);
+  void ForwardConfiguration(const std::string& aAsker, const proto::Beat& aBeat);
   /// The directory's engines by the lower half of the hash of their ids.
   const std::unordered_map<std::uint32_t, std::string>& ShortIds();
   /// @return a listed engine, or a member of a replica, by the short hash of its id; empty for none
@@ -183,9 +183,9 @@
   void NoteStore();
   /// @return whether to read a log now though another node reads it for this one: what is known by
   /// that node is too old, or the store has to show that it answers again.
-  bool LooksAtConfiguration();
-  bool LooksAtEngines();
-  void LogLook(FollowedLog aLog, Duration aAge);
+  bool ReadsConfigurationDirectly();
+  bool ReadsEnginesDirectly();
+  void LogDirectRead(FollowedLog aLog, Duration aAge);
   /// Make the call to a log that is due there, if it may be made.
   void Ask(FollowedLog aLog, StoreCallReason aReason);
   StoreCallReason ReasonToRead() const;
@@ -197,10 +197,10 @@
   std::vector<std::string> Dependants() const;
   KeyedFollower& FollowerOf(FollowedLog aLog);
   /// Pass on what was read for other nodes.
-  void PassOn(FollowedLog aLog, std::uint64_t aFrom, const KeyedTail& aTail);
+  void ForwardRecords(FollowedLog aLog, std::uint64_t aFrom, const KeyedTail& aTail);
   /// One message of what was read; one that fits into no datagram is left out.
   void SendFeed(const proto::PeerMessage& aMessage);
-  void TakeFeed(const proto::LogFeed& aFeed);
+  void ApplyFeed(const proto::LogFeed& aFeed);
   KeyedFollowerEvents Events(FollowedLog aLog,
                              std::function<void(const std::vector<KeyedRecord>&)> aOnList,
                              std::function<void(const KeyedRecord&)> aOnRecord);
@@ -233,10 +233,10 @@
   NodeTree mTree;
   LogReads mReads;
   std::optional<TimePoint> mStoreLostSince;
-  bool mToldStoreLost = false; ///< what the last heartbeats said
-  std::string mToldReader;     ///< the last that was logged
-  LookPause mConfigurationLook;
-  LookPause mEnginesLook;
+  bool mReportedStoreLost = false; ///< what the last heartbeats said
+  std::string mLoggedReader;       ///< the last that was logged
+  DirectReadBackoff mConfigurationBackoff;
+  DirectReadBackoff mEnginesBackoff;
   std::shared_ptr<const RouteTable> mRoutes;
   std::string mConfiguration;      ///< that mRoutes was made from, as the operator wrote it
   TimePoint mConfigurationTaken{}; ///< when this node took it in
--- a/src/pepperbay/coordinator/coordinator_logs.cpp
+++ b/src/pepperbay/coordinator/coordinator_logs.cpp
@@ -6,13 +6,13 @@
 namespace {
 /// Records travel in datagrams of so many bytes; one that is longer by itself, the others read
 /// themselves.
-constexpr std::size_t kMostFedBytes = 60000;
-constexpr std::size_t kMostDatagramBytes = 65000;
+constexpr std::size_t kMaxFeedBytes = 60000;
+constexpr std::size_t kMaxDatagramBytes = 65000;
 /// Of a record in a message, beside its key and its value.
 constexpr std::size_t kFedRecordOverhead = 16;
 /// The store counts as lost once calls have failed for so long. One lost answer is made good by the
 /// next call, and a reader that gives up for it would move all that rely on it.
-constexpr std::chrono::milliseconds kLostAfter{ 300 };
+constexpr std::chrono::milliseconds kStoreLostAfter{ 300 };
 }
 
 KeyedFollower&
@@ -44,7 +44,7 @@
 bool
 Coordinator::Impl::StoreLost() const
 {
-  return mStoreLostSince && Now() - *mStoreLostSince >= kLostAfter;
+  return mStoreLostSince && Now() - *mStoreLostSince >= kStoreLostAfter;
 }
 
 bool
@@ -65,63 +65,63 @@
   } else if (!mStoreLostSince) {
     mStoreLostSince = Now();
   }
-  if (StoreLost() != mToldStoreLost) {
-    mToldStoreLost = StoreLost();
+  if (StoreLost() != mReportedStoreLost) {
+    mReportedStoreLost = StoreLost();
     mBeatDue = Now(); // the others choose another reader
   }
 }
 
 bool
-Coordinator::Impl::LooksAtConfiguration()
+Coordinator::Impl::ReadsConfigurationDirectly()
 {
   const TimePoint now = Now();
   const Duration age = now - ConfigurationAsOf();
-  const bool old = age >= mOptions.mBounds.mLookAfter;
+  const bool old = age >= mOptions.mBounds.mDirectReadAfter;
   // A node that the store has not answered makes no other call that could show that it does again.
   if (!old && !StoreLost()) {
-    mConfigurationLook.Reset();
+    mConfigurationBackoff.Reset();
     return false;
   }
-  const Duration bound = old ? mOptions.mBounds.mLookAgainMost : mOptions.mProbeMost;
-  const bool looks = !mReads.Reads(FollowedLog::kConfiguration) && mConfigFollower.MayAsk();
-  if (!looks || !mConfigurationLook.IsDue(now, bound)) {
+  const Duration bound = old ? mOptions.mBounds.mMaxDirectReadPause : mOptions.mMaxOutageProbePause;
+  const bool readsDirectly = !mReads.Reads(FollowedLog::kConfiguration) && mConfigFollower.MayAsk();
+  if (!readsDirectly || !mConfigurationBackoff.IsDue(now, bound)) {
     return false;
   }
-  mConfigurationLook.Begin(now);
+  mConfigurationBackoff.Begin(now);
   if (old) {
-    LogLook(FollowedLog::kConfiguration, age);
+    LogDirectRead(FollowedLog::kConfiguration, age);
   }
   return true;
 }
 
 bool
-Coordinator::Impl::LooksAtEngines()
+Coordinator::Impl::ReadsEnginesDirectly()
 {
   const TimePoint now = Now();
   const Duration age = now - LogAsOf(FollowedLog::kEngines);
-  const bool old = age >= mOptions.mBounds.mEnginesLookAfter;
+  const bool old = age >= mOptions.mBounds.mEnginesDirectReadAfter;
   const bool lost = mEngineFollower.Lost() || mEngineFollower.Overdue();
   if (!old && !lost) {
-    mEnginesLook.Reset();
+    mEnginesBackoff.Reset();
     return false;
   }
   // In an outage of the store one call shows as well as two that it answers again.
   const bool storeLost = mConfigFollower.Lost() || mConfigFollower.Overdue();
   const bool reads = mLease.LastIsMine() || mReads.Reads(FollowedLog::kEngines);
-  const Duration bound = old ? mOptions.mBounds.mLookAgainMost : mOptions.mProbeMost;
-  const bool looks = !storeLost && !reads && mEngineFollower.MayAsk();
-  if (!looks || !mEnginesLook.IsDue(now, bound)) {
+  const Duration bound = old ? mOptions.mBounds.mMaxDirectReadPause : mOptions.mMaxOutageProbePause;
+  const bool readsDirectly = !storeLost && !reads && mEngineFollower.MayAsk();
+  if (!readsDirectly || !mEnginesBackoff.IsDue(now, bound)) {
     return false;
   }
-  mEnginesLook.Begin(now);
+  mEnginesBackoff.Begin(now);
   if (old) {
-    LogLook(FollowedLog::kEngines, age);
+    LogDirectRead(FollowedLog::kEngines, age);
   }
   return true;
 }
 
 void
-Coordinator::Impl::LogLook(FollowedLog aLog, Duration aAge)
+Coordinator::Impl::LogDirectRead(FollowedLog aLog, Duration aAge)
 {
   ++mCounters.mDirectReads;
   mHooks.mLog("store_looked_at",
@@ -135,10 +135,10 @@
 Coordinator::Impl::LogReader()
 {
   const std::string& reader = ReadsForItself() ? mOptions.mNode : mTree.Reader();
-  if (mTree.AwaitsReader() || reader == mToldReader) {
+  if (mTree.AwaitsReader() || reader == mLoggedReader) {
     return;
   }
-  mToldReader = reader;
+  mLoggedReader = reader;
   mHooks.mLog("store_reader",
               { { "reader", reader },
                 { "age_ms", std::to_string(ToMs(Now() - ConfigurationAsOf()).count()) } });
@@ -162,8 +162,8 @@
   // The reader may be cut from the store and not know it yet, and so may the next ones; nodes that
   // waited for each in turn would go by an older configuration, or send to engines that have left,
   // for seconds.
-  if (LooksAtConfiguration()) {
-    Ask(FollowedLog::kConfiguration, StoreCallReason::kDoubt);
+  if (ReadsConfigurationDirectly()) {
+    Ask(FollowedLog::kConfiguration, StoreCallReason::kStale);
   } else if (mReads.Reads(FollowedLog::kConfiguration)) {
     Ask(FollowedLog::kConfiguration, ReasonToRead());
   }
@@ -172,14 +172,14 @@
   }
   const bool holder = mLease.LastIsMine();
   const bool reads = mReads.Reads(FollowedLog::kEngines);
-  const bool looks = LooksAtEngines();
-  if (looks || ((reads || holder) && now >= mEngineReadDue)) {
+  const bool readsDirectly = ReadsEnginesDirectly();
+  if (readsDirectly || ((reads || holder) && now >= mEngineReadDue)) {
     const bool alone = ReadsForItself() && Dependants().empty();
     const Duration pause = alone ? mOptions.mOtherPause : mOptions.mReaderPause;
     mEngineReadDue = now + (holder ? mOptions.mHolderPause : pause);
-    const StoreCallReason reason = looks    ? StoreCallReason::kDoubt
-                                   : holder ? StoreCallReason::kHolder
-                                            : ReasonToRead();
+    const StoreCallReason reason = readsDirectly ? StoreCallReason::kStale
+                                   : holder      ? StoreCallReason::kHolder
+                                                 : ReasonToRead();
     Ask(FollowedLog::kEngines, reason);
   }
   for (const auto log :
@@ -222,7 +222,7 @@
 }
 
 void
-Coordinator::Impl::PassOn(FollowedLog aLog, std::uint64_t aFrom, const KeyedTail& aTail)
+Coordinator::Impl::ForwardRecords(FollowedLog aLog, std::uint64_t aFrom, const KeyedTail& aTail)
 {
   if (!ReadsForItself()) {
     return;
@@ -237,7 +237,7 @@
   std::size_t bytes = 0;
   for (const auto& it : aTail.mRecords) {
     const std::size_t size = it.mKey.size() + it.mValue.value_or("").size() + kFedRecordOverhead;
-    if (splits && bytes > 0 && bytes + size > kMostFedBytes) {
+    if (splits && bytes > 0 && bytes + size > kMaxFeedBytes) {
       SendFeed(message);
       feed->clear_records();
       feed->set_from(feed->next());
@@ -258,7 +258,7 @@
 Coordinator::Impl::SendFeed(const proto::PeerMessage& aMessage)
 {
   const std::string bytes = aMessage.SerializeAsString();
-  if (bytes.size() > kMostDatagramBytes) {
+  if (bytes.size() > kMaxDatagramBytes) {
     return;
   }
   for (const auto& it : Dependants()) {
@@ -267,7 +267,7 @@
 }
 
 void
-Coordinator::Impl::TakeFeed(const proto::LogFeed& aFeed)
+Coordinator::Impl::ApplyFeed(const proto::LogFeed& aFeed)
 {
   if (aFeed.log() >= kFollowedLogs) {
     ++mCounters.mBadMessages;
--- a/src/pepperbay/coordinator/coordinator_peers.cpp
+++ b/src/pepperbay/coordinator/coordinator_peers.cpp
@@ -7,12 +7,12 @@
 namespace pepperbay {
 namespace {
 /// A configuration travels in one datagram, which holds 65,507 bytes with its headers.
-constexpr std::size_t kMostPassedBytes = 60000;
+constexpr std::size_t kMaxForwardedBytes = 60000;
 /// A node that has an older configuration gets it passed on once the feed of its delegate has had
 /// time to come, a heartbeat and a round; from others that it asks only after a few heartbeats
 /// more.
-constexpr std::chrono::milliseconds kFeedTime{ 180 };
-constexpr std::chrono::milliseconds kPassersTime{ 600 };
+constexpr std::chrono::milliseconds kFeedDelay{ 180 };
+constexpr std::chrono::milliseconds kForwardDelay{ 600 };
 /// News that were missed are asked for at most this often: half a heartbeat.
 constexpr std::chrono::milliseconds kUpdateRequestInterval{ 100 };
 
@@ -129,7 +129,7 @@
       AnswerUpdateRequest(message);
       return;
     case proto::PeerMessage::kFeed:
-      TakeFeed(message.feed());
+      ApplyFeed(message.feed());
       return;
     case proto::PeerMessage::kConfiguration:
       OnConfiguration({ mHooks.mConfigKey, message.configuration() });
@@ -154,7 +154,7 @@
   const proto::Beat& beat = aMessage.beat();
   mPeers.OnBeat(aMessage.node(), beat, now);
   mFreshness.OnBeat(aMessage, ConfigurationVersion(), OwnOffsets(), now);
-  PassConfiguration(aMessage.node(), beat);
+  ForwardConfiguration(aMessage.node(), beat);
   NoteUnreached(beat);
   ++mCounters.mBeats;
   mTraffic = mTraffic || beat.traffic();
@@ -270,14 +270,14 @@
 }
 
 void
-Coordinator::Impl::PassConfiguration(const std::string& aAsker, const proto::Beat& aBeat)
+Coordinator::Impl::ForwardConfiguration(const std::string& aAsker, const proto::Beat& aBeat)
 {
   const bool behind = aBeat.config_version() < ConfigurationVersion();
   const Duration since = mPeers.NoteBehind(aAsker, behind, Now());
-  if (!behind || aBeat.asks_freshness_at_ns() == 0 || mConfiguration.size() > kMostPassedBytes) {
+  if (!behind || aBeat.asks_freshness_at_ns() == 0 || mConfiguration.size() > kMaxForwardedBytes) {
     return;
   }
-  if (since < (aBeat.follows() ? kFeedTime : kPassersTime)) {
+  if (since < (aBeat.follows() ? kFeedDelay : kForwardDelay)) {
     return;
   }
   proto::PeerMessage message = NewMessage();
--- a/src/pepperbay/coordinator/look_pause.hpp
+++ b/src/pepperbay/coordinator/direct_read_backoff.hpp
@@ -12,30 +12,30 @@
 ///
 /// What bounds the pause may change while it lasts: a node that the store does not answer asks
 /// seldom while others tell it what it needs, and has to ask sooner once they do not.
-class LookPause
+class DirectReadBackoff
 {
 public:
-  LookPause(Duration aFirst, Duration aMost)
-    : mFirst(aFirst)
-    , mMost(aMost)
+  DirectReadBackoff(Duration aMin, Duration aMax)
+    : mMin(aMin)
+    , mMax(aMax)
   {
   }
 
-  /// @param aBound the longest pause that is allowed now
-  bool IsDue(TimePoint aNow, Duration aBound) const
+  /// @param aMaxPause the longest pause that is allowed now
+  bool IsDue(TimePoint aNow, Duration aMaxPause) const
   {
-    return aNow >= mLast + std::min(mPause, aBound);
+    return aNow >= mLast + std::min(mPause, aMaxPause);
   }
   void Begin(TimePoint aNow)
   {
     mLast = aNow;
-    mPause = std::clamp(2 * mPause, mFirst, mMost);
+    mPause = std::clamp(2 * mPause, mMin, mMax);
   }
   void Reset() { mPause = Duration::zero(); }
 
 private:
-  Duration mFirst;
-  Duration mMost;
+  Duration mMin;
+  Duration mMax;
   Duration mPause{ 0 };
   TimePoint mLast{};
 };
--- a/src/pepperbay/coordinator/log_reads.cpp
+++ b/src/pepperbay/coordinator/log_reads.cpp
@@ -15,7 +15,7 @@
     } else if (!mBehindSince[i]) {
       mBehindSince[i] = aNow;
     }
-    const bool missed = behind && aNow - *mBehindSince[i] >= kFeedLate;
+    const bool missed = behind && aNow - *mBehindSince[i] >= kFeedTimeout;
     mReads[i] = !reported || missed;
   }
 }
--- a/src/pepperbay/coordinator/log_reads.hpp
+++ b/src/pepperbay/coordinator/log_reads.hpp
@@ -33,7 +33,7 @@
 public:
   /// Records that a heartbeat of the reader names and that have not come after this are lost. A
   /// reader sends a large configuration to sixty nodes within some 150 ms.
-  static constexpr std::chrono::milliseconds kFeedLate{ 250 };
+  static constexpr std::chrono::milliseconds kFeedTimeout{ 250 };
 
   /// Nobody reads for this node.
   void ReadAll() { mReads.fill(true); }
--- a/src/pepperbay/coordinator/log_reads_test.cpp
+++ b/src/pepperbay/coordinator/log_reads_test.cpp
@@ -28,7 +28,7 @@
   const TimePoint told(std::chrono::hours(1));
   LogReads reads;
   reads.RelyOn({ 8, 0, 0 }, { 7, 0, 0 }, told);
-  reads.RelyOn({ 8, 0, 0 }, { 7, 0, 0 }, told + LogReads::kFeedLate);
+  reads.RelyOn({ 8, 0, 0 }, { 7, 0, 0 }, told + LogReads::kFeedTimeout);
   EXPECT_TRUE(reads.Reads(kLog));
   EXPECT_FALSE(reads.Reads(FollowedLog::kEngines));
 }
