--- a/include/pepperbay/coordinator/coordinator.hpp
+++ b/include/pepperbay/coordinator/coordinator.hpp
@@ -46,10 +46,10 @@
   /// take 300 ms in place of 20, answers lie unread until their timeouts have run out, and engines
   /// that live are taken for lost. Longer than the stagger of all stronger nodes and a call to the
   /// store together, a third of the lease.
-  Duration mWeakerWaits = std::chrono::milliseconds(400);
+  Duration mWeakerNodeDelay = std::chrono::milliseconds(400);
   /// A weaker holder gives the lease to a stronger node at most once in this time; one that does
   /// not take it has lost the store, or is about to end.
-  Duration mYieldEvery = std::chrono::seconds(15);
+  Duration mYieldInterval = std::chrono::seconds(15);
   Duration mBeat = std::chrono::milliseconds(200);
   /// A peer that is silent for this long does not count as a node at work.
   Duration mPeerSilence = std::chrono::milliseconds(1200);
--- a/scripts/mutants/late.sh
+++ b/scripts/mutants/late.sh
@@ -17,7 +17,7 @@
 mutant "any number of orders at once" $c/coordinator_pools.cpp \
   's/view.mMostOrders = .*//' coordinator_coordinator_many_engines_test '*APoolForms*'
 mutant "the window of calls does not shrink" $c/engine_calls.cpp \
-  's/mWindow = std::max\(mWindow \/ 2, mOptions.mLeast\);//' coordinator_engine_calls_test '*Fewer*'
+  's/mWindow = std::max\(mWindow \/ 2, mOptions.mMinWindow\);//' coordinator_engine_calls_test '*Fewer*'
 mutant "a late end is the engine's silence" $c/engine_calls.cpp \
   's/const bool unread = .*/const bool unread = false;/' coordinator_engine_calls_test '*ToldLate*'
 mutant "an unheard question makes an engine lost" $c/engine_suspicions.cpp \
@@ -29,7 +29,7 @@
   's/const TimePoint looked = mOptions.mNow\(\);/const TimePoint looked = mOptions.mNow(); GiveUp(looked);/' \
   http_http_test '*ThoughItsTimeIsOver*'
 mutant "rounds take all of the holder's time" $c/round_pace.hpp \
-  's/took \/ mOptions.mMostShare - took/took * 0/' coordinator_round_pace_test '*LongRounds*'
+  's/took \/ mOptions.mMaxShare - took/took * 0/' coordinator_round_pace_test '*LongRounds*'
 mutant "weights are loaded ahead everywhere" $s/placement/group_planner_spares.cpp \
   's/if \(!mView->mTraffic \|\| mDomainsWithLosses/if (mView->mTraffic || mDomainsWithLosses/' \
   placement_group_planner_loads_test '*LoadedAhead*'
--- a/scripts/mutants/reach.sh
+++ b/scripts/mutants/reach.sh
@@ -38,7 +38,7 @@
 mutant "nodes that reach nothing are asked" $s/coordinator/peer_table.cpp \
   's/ \&\& !Unreached\(peer, aNow\)//' coordinator_coordinator_reach_test '*WhoReachesNoEngine*'
 mutant "delegates do not tell who reaches nothing" $s/coordinator/coordinator_reach.cpp \
-  's/  if \(!mTree.IsUpper\(\)\) \{/  if (true) {/' coordinator_coordinator_reach_test 'ReachOfAFleet.*'
+  's/  if \(!mTree.IsInUpperTier\(\)\) \{/  if (true) {/' coordinator_coordinator_reach_test 'ReachOfAFleet.*'
 mutant "the lease does not wait for who reaches engines" $s/coordinator/coordinator.cpp \
   's/weaker \|\| \(IsUnreached\(\) \&\& HasReachingPeer\(\)\)/weaker/' coordinator_coordinator_reach_test '*EitherIsCut*'
 mutant "a kept connection that is closed uses its engine up" $s/relay/exchange_suspect.cpp \
--- a/src/pepperbay/coordinator/coordinator.cpp
+++ b/src/pepperbay/coordinator/coordinator.cpp
@@ -18,7 +18,7 @@
 /// engines, and while a pool forms there is something new at every round.
 constexpr std::chrono::milliseconds kBuildEvery{ 40 };
 /// Most that a challenger's wait is lengthened, so that not all claim a free lease at once.
-constexpr std::chrono::milliseconds kMostStagger{ 120 };
+constexpr std::chrono::milliseconds kMaxStagger{ 120 };
 /// News of a holder that has been silent for this long is not used: the holder may be gone and the
 /// registrations have moved on.
 constexpr std::chrono::seconds kUpdateLifetime{ 3 };
@@ -26,8 +26,8 @@
 Duration
 StaggerOf(const CoordinatorOptions& aOptions)
 {
-  return kMostStagger * static_cast<int>(Hash64(aOptions.mNode) % kMostStagger.count()) /
-         static_cast<int>(kMostStagger.count());
+  return kMaxStagger * static_cast<int>(Hash64(aOptions.mNode) % kMaxStagger.count()) /
+         static_cast<int>(kMaxStagger.count());
 }
 
 /// @param aBetween pause between two reads that the owner of the follower keeps
@@ -292,9 +292,9 @@
   const bool weaker = mPeers.HasStronger(mOptions.mCpuPermille, now);
   // Orders go through peers as well, only later; one that holds the lease keeps it.
   const bool waits = weaker || (IsUnreached() && HasReachingPeer());
-  mLease.SetStagger(StaggerOf(mOptions) + (waits ? mOptions.mWeakerWaits : Duration::zero()));
+  mLease.SetStagger(StaggerOf(mOptions) + (waits ? mOptions.mWeakerNodeDelay : Duration::zero()));
   if (weaker && mLease.Held() && now >= mYieldDue) {
-    mYieldDue = now + mOptions.mYieldEvery;
+    mYieldDue = now + mOptions.mYieldInterval;
     mLease.Yield();
     mBeatDue = now; // the others wait less once they know
     mHooks.mLog("lease_yielded", { { "cpu_permille", std::to_string(mOptions.mCpuPermille) } });
@@ -304,7 +304,7 @@
 bool
 Coordinator::Impl::IsReady() const
 {
-  return !mStopping && KnowsAll();
+  return !mStopping && HasFullState();
 }
 
 void
@@ -318,7 +318,7 @@
   aPlan->mKeysValidUntil = ConfigurationAsOf() + mOptions.mBounds.mKeysTrusted;
   aPlan->mMissesValidUntil = ConfigurationAsOf() + mOptions.mBounds.mMissesTrusted;
   aPlan->mSuspects = mSuspectRequests;
-  aPlan->mNodes = NodesAtWork();
+  aPlan->mNodes = LiveNodes();
   aPlan->mIsDesk = mTree.FollowsItself();
   aPlan->mDesks.clear();
   const auto allocatorOf = [this](const std::string& aNode) {
@@ -334,7 +334,7 @@
       aPlan->mDesksOf[scope] = allocatorOf(delegates.front());
     }
   }
-  aPlan->mListedNodes = std::max(NodesAtWork(), static_cast<int>(mPeers.Peers().size()) + 1);
+  aPlan->mListedNodes = std::max(LiveNodes(), static_cast<int>(mPeers.Peers().size()) + 1);
   aPlan->mRateLeases = mRateLeases.Current(Now());
   aPlan->mOthersLimits = OthersLimits();
   aPlan->mRetryKeeper = FindRetryBudgetOwner();
@@ -345,13 +345,13 @@
 {
   const TimePoint now = Now();
   const bool changed = mChanged || mDirectory.Revision() != mPublishedRevision;
-  const bool build = changed && now - mBuilt >= kBuildEvery;
+  const bool build = changed && now - mLastBuild >= kBuildEvery;
   const bool suspects = mSuspects.QuarantineRevision() != mPublishedQuarantine;
   if (!build && !suspects && mPlan && now < mPublishDue) {
     return;
   }
   PublishSuspects();
-  mPublishDue = now + (mTree.IsUpper() ? kPublishEvery : kFollowerPublishEvery);
+  mPublishDue = now + (mTree.IsInUpperTier() ? kPublishEvery : kFollowerPublishEvery);
   if (!build && mPlan) {
     auto plan = std::make_shared<TrafficPlan>(*mPlan);
     FillPlan(plan.get());
@@ -361,10 +361,10 @@
   }
   mChanged = false;
   mPublishedRevision = mDirectory.Revision();
-  mBuilt = now;
+  mLastBuild = now;
   static const std::map<std::string, proto::ReplicaNews> kNoUpdates;
   PlanSources sources;
-  sources.mComplete = KnowsAll();
+  sources.mComplete = HasFullState();
   sources.mRoutes = mRoutes;
   sources.mEngines = &mDirectory.Engines();
   sources.mUpdates = now - mUpdates.AsOf() < kUpdateLifetime ? &mUpdates.Replicas() : &kNoUpdates;
--- a/src/pepperbay/coordinator/coordinator_dump.cpp
+++ b/src/pepperbay/coordinator/coordinator_dump.cpp
@@ -108,7 +108,7 @@
                           { "heard", mTree.Delegates() },
                           { "of_other_data_centres", mTree.OtherDelegates() },
                           { "candidate", mTree.IsCandidate() } } },
-                      { "nodes_at_work", NodesAtWork() },
+                      { "nodes_at_work", LiveNodes() },
                       { "news",
                         { { "fence", mUpdates.Fence() },
                           { "change", mUpdates.Change() },
--- a/src/pepperbay/coordinator/coordinator_impl.hpp
+++ b/src/pepperbay/coordinator/coordinator_impl.hpp
@@ -87,9 +87,9 @@
   /// Nodes that rely on this one, itself included where it does.
   int Followers() const;
   /// Nodes before this pool, as far as known; more rather than fewer.
-  int NodesAtWork() const;
+  int LiveNodes() const;
   /// Tell the holder of the lease what this node's streams and requests show of heads.
-  void TellHolder(const proto::Suspicions& aSuspicions);
+  void NotifyHolder(const proto::Suspicions& aSuspicions);
   void OnSuspicions(const proto::Suspicions& aSuspicions);
   /// Ask a node for the news of replicas that are missing here.
   void RequestUpdates(const std::string& aNode);
@@ -159,7 +159,7 @@
   void RecordUpdates(const GroupPlanner& aPlanner, Duration aFormTime);
   /// Drop what is known of replicas that no pool has any more.
   void DropRemovedReplicas();
-  void AskAsPlanned(const GroupPlanner& aPlanner);
+  void QueryPlannedEngines(const GroupPlanner& aPlanner);
   void Publish();
   /// Make what traffic knows of suspect requests anew where the book has changed.
   void PublishSuspects();
@@ -172,7 +172,7 @@
   void PreferStronger();
   bool IsReady() const;
   /// @return whether configuration and registrations have both been read once.
-  bool KnowsAll() const { return mRoutes && mEngineFollower.HasList(); }
+  bool HasFullState() const { return mRoutes && mEngineFollower.HasList(); }
   std::unordered_map<std::string, int> OthersInFlight() const;
   /// Log who reads the store for this node when that changes.
   void LogReader();
@@ -275,7 +275,7 @@
   TimePoint mBeatDue{};
   TimePoint mYieldDue{};
   TimePoint mPublishDue{};
-  TimePoint mBuilt{}; ///< when the replicas were last put together
+  TimePoint mLastBuild{}; ///< when the replicas were last put together
   TimePoint mEngineReadDue{};
 };
 
--- a/src/pepperbay/coordinator/coordinator_peers.cpp
+++ b/src/pepperbay/coordinator/coordinator_peers.cpp
@@ -139,7 +139,7 @@
       return;
     case proto::PeerMessage::kSuspects:
       // Whoever told it has told its delegates; they tell the nodes that rely on them.
-      mSuspects.OnUpdate(message.suspects(), mTree.IsUpper());
+      mSuspects.OnUpdate(message.suspects(), mTree.IsInUpperTier());
       return;
     case proto::PeerMessage::BODY_NOT_SET:
       ++mCounters.mBadMessages; // of a newer version
@@ -336,7 +336,7 @@
 }
 
 void
-Coordinator::Impl::TellHolder(const proto::Suspicions& aSuspicions)
+Coordinator::Impl::NotifyHolder(const proto::Suspicions& aSuspicions)
 {
   // Nobody else acts on a suspicion. It is told again while it lasts, so that whoever has just
   // taken the lease hears of it as well.
@@ -373,14 +373,14 @@
 }
 
 int
-Coordinator::Impl::NodesAtWork() const
+Coordinator::Impl::LiveNodes() const
 {
   const TimePoint now = Now();
   int n = 0;
   const KnownPeer* followed = mPeers.Find(mTree.Followed());
   if (followed != nullptr) {
     n = static_cast<int>(followed->mBeat.nodes());
-  } else if (mTree.IsUpper()) {
+  } else if (mTree.IsInUpperTier()) {
     n = Followers();
     for (const auto& [name, peer] : mPeers.Peers()) {
       n += mPeers.Alive(peer, now) ? static_cast<int>(peer.mBeat.followers()) : 0;
@@ -393,7 +393,7 @@
 bool
 Coordinator::Impl::WantsLoads(const std::string& aNode) const
 {
-  if (!mTree.IsUpper()) {
+  if (!mTree.IsInUpperTier()) {
     return false;
   }
   return aNode == mLease.Newest().holder() || mPeers.Find(aNode)->mBeat.followers() > 0;
@@ -479,7 +479,7 @@
     beat.add_log_age_ms(static_cast<std::uint64_t>(age.count()));
   }
   beat.set_followers(static_cast<std::uint32_t>(Followers()));
-  beat.set_nodes(static_cast<std::uint32_t>(NodesAtWork()));
+  beat.set_nodes(static_cast<std::uint32_t>(LiveNodes()));
   beat.set_news_fence(mUpdates.Fence());
   beat.set_news_change(mUpdates.Change());
   beat.set_news_age_ns(ToNs(now - mUpdates.AsOf()));
--- a/src/pepperbay/coordinator/coordinator_pools.cpp
+++ b/src/pepperbay/coordinator/coordinator_pools.cpp
@@ -7,7 +7,7 @@
 namespace pepperbay {
 namespace {
 /// A head's silence is told every 200 ms while it lasts; one word of it may be lost.
-constexpr std::chrono::milliseconds kSilenceHolds{ 500 };
+constexpr std::chrono::milliseconds kSilenceReportLifetime{ 500 };
 }
 
 bool
@@ -85,11 +85,11 @@
   };
   view.mStandsStill = [this](const std::string& aHead) {
     const auto it = mSilentHeads.find(aHead);
-    return it != mSilentHeads.end() && Now() - it->second < kSilenceHolds;
+    return it != mSilentHeads.end() && Now() - it->second < kSilenceReportLifetime;
   };
   const auto orders = planner.Plan(view);
   LogComposition(planner.TakeChanges());
-  AskAsPlanned(planner);
+  QueryPlannedEngines(planner);
   for (const auto& it : orders) {
     SendOrder(it, aService.mName);
   }
@@ -198,7 +198,7 @@
 }
 
 void
-Coordinator::Impl::AskAsPlanned(const GroupPlanner& aPlanner)
+Coordinator::Impl::QueryPlannedEngines(const GroupPlanner& aPlanner)
 {
   using IfSilent = EngineSuspicions::IfSilent;
   for (const auto& [id, engine] : aPlanner.Wanted()) {
@@ -224,7 +224,7 @@
   }
   proto::Suspicions suspicions;
   suspicions.add_engines(ShortId(aHead));
-  TellHolder(suspicions);
+  NotifyHolder(suspicions);
 }
 
 void
@@ -239,7 +239,7 @@
   }
   proto::Suspicions suspicions;
   suspicions.add_refusing(ShortId(aHead));
-  TellHolder(suspicions);
+  NotifyHolder(suspicions);
 }
 
 void
@@ -254,7 +254,7 @@
 {
   const TimePoint now = Now();
   for (auto it = mSilentHeads.begin(); it != mSilentHeads.end();) {
-    it = now - it->second >= kSilenceHolds ? mSilentHeads.erase(it) : std::next(it);
+    it = now - it->second >= kSilenceReportLifetime ? mSilentHeads.erase(it) : std::next(it);
   }
   for (auto it = mHeadsAsked.begin(); it != mHeadsAsked.end();) {
     it = now - it->second >= mOptions.mAskHeadAgain ? mHeadsAsked.erase(it) : std::next(it);
@@ -305,15 +305,16 @@
                   { "ended", ended } });
     return;
   }
-  mHooks.mLog(aVerdict.mWasLost ? "engine_gone" : "engine_lost",
-              { { "engine", aEngine.mId },
-                { "domain", aEngine.mDomain },
-                { "by", ToString(*aVerdict.mLostBy) },
-                { "evidence", ToString(aVerdict.mEvidence) },
-                { "silent_ms", ms(aVerdict.mSilentFor) },
-                { "ended", ended },
-                { "error", aVerdict.mError },
-                { "heard_others_ms_ago", ms(Now() - mCalls.Heard().OtherThan(aEngine.mId)) } });
+  mHooks.mLog(
+    aVerdict.mWasLost ? "engine_gone" : "engine_lost",
+    { { "engine", aEngine.mId },
+      { "domain", aEngine.mDomain },
+      { "by", ToString(*aVerdict.mLostBy) },
+      { "evidence", ToString(aVerdict.mEvidence) },
+      { "silent_ms", ms(aVerdict.mSilentFor) },
+      { "ended", ended },
+      { "error", aVerdict.mError },
+      { "heard_others_ms_ago", ms(Now() - mCalls.LastReplies().OtherThan(aEngine.mId)) } });
 }
 
 void
--- a/src/pepperbay/coordinator/coordinator_reach.cpp
+++ b/src/pepperbay/coordinator/coordinator_reach.cpp
@@ -41,7 +41,7 @@
   hooks.mOnChange = [this](const EngineRecord& aEngine, const EngineVerdict& aVerdict) {
     OnEngineChange(aEngine, aVerdict);
   };
-  hooks.mMayAsk = [this] { return mCalls.RoomForQuestion(); };
+  hooks.mMayAsk = [this] { return mCalls.RoomForStatusRequest(); };
   hooks.mPickPeer = [this](const EngineRecord& aEngine, const std::set<std::string>& aTried) {
     const ProxyPeer* peer = mProxies.Pick(aEngine.mDataCentre, aTried, Now());
     if (peer != nullptr) {
@@ -198,7 +198,7 @@
 void
 Coordinator::Impl::AddUnreached(bool aToFollower, proto::Beat* aBeat)
 {
-  if (!mTree.IsUpper()) {
+  if (!mTree.IsInUpperTier()) {
     return;
   }
   for (const auto& [name, peer] : mPeers.Peers()) {
--- a/src/pepperbay/coordinator/engine_calls.cpp
+++ b/src/pepperbay/coordinator/engine_calls.cpp
@@ -25,7 +25,7 @@
 EngineCalls::EngineCalls(EngineCallsOptions aOptions, EngineCallsHooks aHooks)
   : mOptions(aOptions)
   , mHooks(std::move(aHooks))
-  , mWindow(aOptions.mFirst)
+  , mWindow(aOptions.mInitialWindow)
 {
 }
 
@@ -42,7 +42,7 @@
     [this, begun, aOptions, engine = aOrder.mEngine, done = std::move(aDone)](OrderAnswer aAnswer) {
       const bool answered = aAnswer != OrderAnswer::kNone;
       if (answered) {
-        NoteHeard(engine, aOptions);
+        NoteReply(engine, aOptions);
       }
       const bool unread = OnEnd(begun, aOptions.mTimeout, answered);
       done(unread ? OrderAnswer::kUnread : aAnswer);
@@ -61,7 +61,7 @@
               [this, begun, aOptions, id = aEngine.mId, done = std::move(aDone)](
                 const Result<EngineReport>& aReport) {
                 if (aReport.has_value()) {
-                  NoteHeard(id, aOptions);
+                  NoteReply(id, aOptions);
                 }
                 const Duration took = mHooks.mNow() - begun;
                 if (OnEnd(begun, aOptions.mTimeout, aReport.has_value())) {
@@ -73,18 +73,18 @@
 }
 
 void
-EngineCalls::NoteHeard(const std::string& aEngine, const EngineCallOptions& aOptions)
+EngineCalls::NoteReply(const std::string& aEngine, const EngineCallOptions& aOptions)
 {
   if (!aOptions.mVia) {
-    mHeard.Note(aEngine, mHooks.mNow());
+    mLastReplies.Note(aEngine, mHooks.mNow());
   }
 }
 
 int
 EngineCalls::RoomForOrders() const
 {
-  const int most = mWindow - static_cast<int>(mWindow * mOptions.mKeptForQuestions);
-  return std::max(0, most - mOpen);
+  const int max = mWindow - static_cast<int>(mWindow * mOptions.mReservedForStatusRequests);
+  return std::max(0, max - mOpen);
 }
 
 bool
@@ -92,14 +92,14 @@
 {
   --mOpen;
   const Duration took = mHooks.mNow() - aBegun;
-  const bool unread = !aAnswered && took > aTimeout + mOptions.mLateEnd;
-  if (unread || (aAnswered && took > mOptions.mLate)) {
+  const bool unread = !aAnswered && took > aTimeout + mOptions.mLateTimeout;
+  if (unread || (aAnswered && took > mOptions.mLateReply)) {
     mUnread += unread ? 1 : 0;
-    if (aBegun >= mShrunk) {
+    if (aBegun >= mLastShrunk) {
       Shrink();
     }
-  } else if (aAnswered && took <= mOptions.mSoon) {
-    mWindow = std::min(mWindow + 1, mOptions.mMost);
+  } else if (aAnswered && took <= mOptions.mPromptReply) {
+    mWindow = std::min(mWindow + 1, mOptions.mMaxWindow);
   }
   return unread;
 }
@@ -107,8 +107,8 @@
 void
 EngineCalls::Shrink()
 {
-  mWindow = std::max(mWindow / 2, mOptions.mLeast);
-  mShrunk = mHooks.mNow();
+  mWindow = std::max(mWindow / 2, mOptions.mMinWindow);
+  mLastShrunk = mHooks.mNow();
 }
 
 } // namespace pepperbay
--- a/src/pepperbay/coordinator/engine_calls.hpp
+++ b/src/pepperbay/coordinator/engine_calls.hpp
@@ -23,16 +23,16 @@
 {
   /// Calls under way at once. Each answer that is read soon allows one more, and one that is read
   /// late half as many.
-  int mLeast = 4;
-  int mFirst = 32;
-  int mMost = 128;
+  int mMinWindow = 4;
+  int mInitialWindow = 32;
+  int mMaxWindow = 128;
   /// Share of them that orders leave free for questions, without which orders cannot go on.
-  double mKeptForQuestions = 0.25;
+  double mReservedForStatusRequests = 0.25;
   /// Engines answer within a few milliseconds; what is beyond is this node's own time.
-  Duration mSoon = std::chrono::milliseconds(30);
-  Duration mLate = std::chrono::milliseconds(60);
+  Duration mPromptReply = std::chrono::milliseconds(30);
+  Duration mLateReply = std::chrono::milliseconds(60);
   /// The end of a call's time that is told later than this was told by a node that is late.
-  Duration mLateEnd = std::chrono::milliseconds(30);
+  Duration mLateTimeout = std::chrono::milliseconds(30);
 };
 
 struct EngineCallsHooks
@@ -62,11 +62,11 @@
   /// @return how many orders may be given now.
   int RoomForOrders() const;
   /// @return whether a question may be put now.
-  bool RoomForQuestion() const { return mOpen < mWindow; }
+  bool RoomForStatusRequest() const { return mOpen < mWindow; }
   /// Calls that may be under way at once.
   int Window() const { return mWindow; }
   /// When engines last answered this node directly.
-  const LastHeard& Heard() const { return mHeard; }
+  const LastHeard& LastReplies() const { return mLastReplies; }
   /// Calls whose answer this node was too late to hear.
   std::uint64_t Unread() const { return mUnread; }
 
@@ -74,7 +74,7 @@
   /// @return whether a call that ended without an answer tells nothing of the engine.
   bool OnEnd(TimePoint aBegun, Duration aTimeout, bool aAnswered);
   /// An engine has answered.
-  void NoteHeard(const std::string& aEngine, const EngineCallOptions& aOptions);
+  void NoteReply(const std::string& aEngine, const EngineCallOptions& aOptions);
   void Shrink();
 
   EngineCallsOptions mOptions;
@@ -82,8 +82,8 @@
   int mOpen = 0;
   int mWindow;
   std::uint64_t mUnread = 0;
-  LastHeard mHeard;
-  TimePoint mShrunk{}; ///< calls that began before this say nothing of the window as it is now
+  LastHeard mLastReplies;
+  TimePoint mLastShrunk{}; ///< calls that began before this say nothing of the window as it is now
 };
 
 } // namespace pepperbay
--- a/src/pepperbay/coordinator/engine_calls_test.cpp
+++ b/src/pepperbay/coordinator/engine_calls_test.cpp
@@ -24,7 +24,7 @@
   /// Put questions while there is room, and answer each after a time. @return how many there were
   int Round(Duration aAfter)
   {
-    while (mCalls.RoomForQuestion()) {
+    while (mCalls.RoomForStatusRequest()) {
       Ask();
     }
     const auto n = static_cast<int>(mAsked.size());
@@ -58,28 +58,28 @@
 
 TEST_F(EngineCallsTest, MoreAreUnderWayWhileAnswersAreReadSoonUpToABound)
 {
-  EXPECT_EQ(Round(milliseconds(5)), mOptions.mFirst);
-  EXPECT_EQ(Round(milliseconds(5)), 2 * mOptions.mFirst);
+  EXPECT_EQ(Round(milliseconds(5)), mOptions.mInitialWindow);
+  EXPECT_EQ(Round(milliseconds(5)), 2 * mOptions.mInitialWindow);
   Round(milliseconds(5));
-  EXPECT_EQ(Round(milliseconds(5)), mOptions.mMost);
+  EXPECT_EQ(Round(milliseconds(5)), mOptions.mMaxWindow);
 }
 
 /// Guards against a node that goes on to begin more calls than it can read the answers of.
 TEST_F(EngineCallsTest, FewerAreUnderWayWhileAnswersAreReadLateButNeverNone)
 {
   Round(milliseconds(200));
-  EXPECT_EQ(mCalls.Window(), mOptions.mFirst / 2) << "the answers of one round count once";
+  EXPECT_EQ(mCalls.Window(), mOptions.mInitialWindow / 2) << "the answers of one round count once";
   for (int i = 0; i < 10; ++i) {
     Round(milliseconds(200));
   }
-  EXPECT_EQ(mCalls.Window(), mOptions.mLeast);
+  EXPECT_EQ(mCalls.Window(), mOptions.mMinWindow);
 }
 
 /// Guards against engines that count as lost because the node that asked them was late.
 TEST_F(EngineCallsTest, ACallWhoseEndIsToldLateTellsNothingOfTheEngine)
 {
   Ask();
-  mClock.Advance(kTimeout + mOptions.mLateEnd + milliseconds(1));
+  mClock.Advance(kTimeout + mOptions.mLateTimeout + milliseconds(1));
   End(mTimedOut);
   EXPECT_EQ(mLast, Errc::kCancelled);
   EXPECT_EQ(mCalls.Unread(), 1U);
@@ -92,18 +92,18 @@
   mClock.Advance(kTimeout);
   End(mTimedOut);
   EXPECT_EQ(mLast, Errc::kTimeout);
-  EXPECT_EQ(mCalls.Window(), mOptions.mFirst);
+  EXPECT_EQ(mCalls.Window(), mOptions.mInitialWindow);
 }
 
 TEST_F(EngineCallsTest, OrdersLeaveRoomForQuestions)
 {
   const int orders = mCalls.RoomForOrders();
-  EXPECT_LT(orders, mOptions.mFirst);
+  EXPECT_LT(orders, mOptions.mInitialWindow);
   for (int i = 0; i < orders; ++i) {
     Ask();
   }
   EXPECT_EQ(mCalls.RoomForOrders(), 0);
-  EXPECT_TRUE(mCalls.RoomForQuestion());
+  EXPECT_TRUE(mCalls.RoomForStatusRequest());
 }
 
 } // namespace
--- a/src/pepperbay/coordinator/node_tree.cpp
+++ b/src/pepperbay/coordinator/node_tree.cpp
@@ -17,7 +17,7 @@
 bool
 NodeTree::InScope(const std::string& aDataCentre) const
 {
-  return mWide || aDataCentre == mOptions.mDataCentre;
+  return mSharesDelegates || aDataCentre == mOptions.mDataCentre;
 }
 
 void
@@ -26,31 +26,31 @@
   struct Listed
   {
     std::vector<std::pair<std::string, int>> mNodes; ///< names and processor
-    int mMost = 0;
+    int mMaxCpuPermille = 0;
   };
   std::set<std::string> centres = { mOptions.mDataCentre };
   for (const auto& [name, peer] : aPeers.Peers()) {
     centres.insert(peer.mDataCentre);
   }
   const std::size_t nodes = aPeers.Peers().size() + 1;
-  mWide = nodes < mOptions.mLeastNodes * centres.size();
+  mSharesDelegates = nodes < mOptions.mMinNodes * centres.size();
   std::map<std::string, Listed> scopes;
   const auto add = [&](const std::string& aName, const std::string& aCentre, int aCpu) {
-    Listed& scope = scopes[mWide ? std::string() : aCentre];
+    Listed& scope = scopes[mSharesDelegates ? std::string() : aCentre];
     scope.mNodes.emplace_back(aName, aCpu);
-    scope.mMost = std::max(scope.mMost, aCpu);
+    scope.mMaxCpuPermille = std::max(scope.mMaxCpuPermille, aCpu);
   };
   add(mOptions.mNode, mOptions.mDataCentre, mOptions.mCpuPermille);
   for (const auto& [name, peer] : aPeers.Peers()) {
     add(name, peer.mDataCentre, peer.mCpuPermille);
   }
-  mScope = mWide ? std::string() : mOptions.mDataCentre;
+  mScope = mSharesDelegates ? std::string() : mOptions.mDataCentre;
   mOrders.clear();
   for (const auto& [key, scope] : scopes) {
     std::vector<std::string> able;
     std::vector<std::string> weak; // better than nobody
     for (const auto& [name, cpu] : scope.mNodes) {
-      (2 * cpu >= scope.mMost ? able : weak).push_back(name);
+      (2 * cpu >= scope.mMaxCpuPermille ? able : weak).push_back(name);
     }
     auto& order = mOrders[key];
     order = RendezvousTop("delegates", able, able.size());
@@ -75,7 +75,7 @@
     return Standing::kUnknown;
   }
   // After a pause of this process everybody seems silent; they have to be heard anew first.
-  const TimePoint since = std::max({ watched->second, peer->mLastHeard, mWoke });
+  const TimePoint since = std::max({ watched->second, peer->mLastHeard, mLastPauseEnd });
   return aNow - since < mOptions.mSilence ? Standing::kUnknown : Standing::kSilent;
 }
 
@@ -83,7 +83,7 @@
 NodeTree::Watch(const std::string& aNode, TimePoint aNow)
 {
   mWatched.emplace(aNode, aNow);
-  mWanted.insert(aNode);
+  mSelected.insert(aNode);
 }
 
 std::vector<std::string>
@@ -108,8 +108,8 @@
     if (standing != Standing::kSilent && !peer->mBeat.stopping()) {
       selected.push_back(it);
       Watch(it, aNow);
-    } else if (aNow - mTried[it] >= mOptions.mRetry) {
-      mTried[it] = aNow;
+    } else if (aNow - mLastTried[it] >= mOptions.mRetry) {
+      mLastTried[it] = aNow;
       mProbes.insert(it);
     }
   }
@@ -161,7 +161,7 @@
 NodeTree::ChooseOthers(const PeerTable& aPeers, TimePoint aNow)
 {
   mOthers.clear();
-  if (!mUpper) {
+  if (!mInUpperTier) {
     return;
   }
   for (const auto& [scope, order] : mOrders) {
@@ -180,7 +180,7 @@
 void
 NodeTree::Choose(const PeerTable& aPeers, const OwnState& aOwn, TimePoint aNow)
 {
-  mWanted.clear();
+  mSelected.clear();
   const auto selected = Select(mOrders[mScope], aPeers, &aOwn, aNow);
   mDelegates.clear();
   mFollowed.clear();
@@ -200,16 +200,18 @@
   }
   ChooseReader(aPeers, aOwn, aNow);
   const bool readerless = mReader.empty() && !mCandidate;
-  mReaderless = !readerless ? TimePoint{} : mReaderless == TimePoint{} ? aNow : mReaderless;
-  mAwaitsReader = readerless && aNow - mReaderless < mOptions.mAwaitReader;
-  mUpper = own || aOwn.mHoldsLease || !aPeers.Correspondents(aNow).empty();
+  mReaderlessSince = !readerless                       ? TimePoint{}
+                     : mReaderlessSince == TimePoint{} ? aNow
+                                                       : mReaderlessSince;
+  mAwaitsReader = readerless && aNow - mReaderlessSince < mOptions.mAwaitReader;
+  mInUpperTier = own || aOwn.mHoldsLease || !aPeers.Correspondents(aNow).empty();
   ChooseOthers(aPeers, aNow);
-  if (mUpper && aPeers.Find(aOwn.mHolder) != nullptr) {
+  if (mInUpperTier && aPeers.Find(aOwn.mHolder) != nullptr) {
     Watch(aOwn.mHolder, aNow);
   }
   for (auto it = mWatched.begin(); it != mWatched.end();) {
     // One that is silent stays marked until it is heard, or it would seem new at the next look.
-    const bool wanted = mWanted.count(it->first) != 0;
+    const bool wanted = mSelected.count(it->first) != 0;
     const bool silent = StandingOf(it->first, aPeers, aNow) == Standing::kSilent;
     it =
       wanted || (silent && aPeers.Find(it->first) != nullptr) ? std::next(it) : mWatched.erase(it);
@@ -220,7 +222,7 @@
 NodeTree::Tick(const PeerTable& aPeers, const OwnState& aOwn, TimePoint aNow)
 {
   if (aNow - mTicked > mOptions.mSilence / 2) {
-    mWoke = aNow;
+    mLastPauseEnd = aNow;
   }
   mTicked = aNow;
   if (mRankedOf != aPeers.Revision()) {
@@ -238,7 +240,7 @@
 NodeTree::TakeTargets()
 {
   std::set<std::string> targets = std::exchange(mProbes, {});
-  targets.insert(mWanted.begin(), mWanted.end());
+  targets.insert(mSelected.begin(), mSelected.end());
   return targets;
 }
 
--- a/src/pepperbay/coordinator/node_tree.hpp
+++ b/src/pepperbay/coordinator/node_tree.hpp
@@ -30,7 +30,7 @@
   int mCpuPermille = 0; ///< of this node; nodes with less than half of the most come last
   /// Data centres with fewer nodes than this on the average share the delegates of all: a reader of
   /// the store for each would make most of the calls.
-  std::size_t mLeastNodes = 5;
+  std::size_t mMinNodes = 5;
   /// Delegates that a node writes to. The second is heard already when the first falls silent.
   std::size_t mDelegates = 2;
   /// Nodes of a data centre that may read the store and claim the lease while the delegates cannot.
@@ -77,7 +77,7 @@
   /// call of every node, at a start of all as many as the store bears.
   bool AwaitsReader() const { return mAwaitsReader; }
   /// @return whether this node talks to the delegates of the other data centres.
-  bool IsUpper() const { return mUpper; }
+  bool IsInUpperTier() const { return mInUpperTier; }
   /// @return whether this node may claim the lease.
   bool IsCandidate() const { return mCandidate; }
   /// @return whether a data centre has this node's delegates.
@@ -109,23 +109,23 @@
   NodeTreeOptions mOptions;
   std::uint64_t mRankedOf = 0;                             ///< revision of the list of nodes
   std::map<std::string, std::vector<std::string>> mOrders; ///< by data centre; one, if shared
-  bool mWide = true;
+  bool mSharesDelegates = true;
   std::string mScope; ///< key of this node's own order
   TimePoint mChooseDue{};
   TimePoint mTicked{};
-  TimePoint mWoke{};                         ///< end of the last pause of this process
-  std::map<std::string, TimePoint> mWatched; ///< nodes written to, since when
-  std::map<std::string, TimePoint> mTried;   ///< silent nodes, when they were last written to
-  std::set<std::string> mWanted;             ///< chosen at the last look
-  std::set<std::string> mProbes;             ///< silent nodes that are due to be tried again
+  TimePoint mLastPauseEnd{};                   ///< end of the last pause of this process
+  std::map<std::string, TimePoint> mWatched;   ///< nodes written to, since when
+  std::map<std::string, TimePoint> mLastTried; ///< silent nodes, when they were last written to
+  std::set<std::string> mSelected;             ///< chosen at the last look
+  std::set<std::string> mProbes;               ///< silent nodes that are due to be tried again
   std::vector<std::string> mDelegates;
   std::map<std::string, std::vector<std::string>> mOthers;
   std::string mFollowed;
   std::string mReader;
-  bool mUpper = false;
+  bool mInUpperTier = false;
   bool mCandidate = true;
   bool mAwaitsReader = false;
-  TimePoint mReaderless{}; ///< since when there is none; the zero time while there is one
+  TimePoint mReaderlessSince{}; ///< since when there is none; the zero time while there is one
 };
 
 } // namespace pepperbay
--- a/src/pepperbay/coordinator/rate_leases.cpp
+++ b/src/pepperbay/coordinator/rate_leases.cpp
@@ -36,16 +36,16 @@
 std::size_t
 RateLeaseTable::MaxFollowers(Entry* aEntry, TimePoint aNow) const
 {
-  std::size_t most = 0;
+  std::size_t max = 0;
   for (auto it = aEntry->mRequesters.begin(); it != aEntry->mRequesters.end();) {
     if (aNow - it->second.mAt > mOptions.mContestWindow) {
       it = aEntry->mRequesters.erase(it);
       continue;
     }
-    most = std::max(most, it->second.mFollowers);
+    max = std::max(max, it->second.mFollowers);
     ++it;
   }
-  return most;
+  return max;
 }
 
 std::vector<std::string>
--- a/src/pepperbay/coordinator/round_pace.hpp
+++ b/src/pepperbay/coordinator/round_pace.hpp
@@ -11,9 +11,9 @@
 struct RoundPaceOptions
 {
   /// Part of the time that rounds may take; the rest is for what they wait for.
-  double mMostShare = 0.25;
+  double mMaxShare = 0.25;
   /// The next round begins after this at the latest, whatever the last one took.
-  Duration mMostPause = std::chrono::milliseconds(200);
+  Duration mMaxPause = std::chrono::milliseconds(200);
 };
 
 /// Spaces rounds whose cost grows with the fleet. Done as often as ever they would leave no time
@@ -35,8 +35,8 @@
   void OnRound(TimePoint aBegun, TimePoint aEnded)
   {
     const std::chrono::duration<double> took = aEnded - aBegun;
-    const auto pause = std::chrono::duration_cast<Duration>(took / mOptions.mMostShare - took);
-    mDue = aEnded + std::min(pause, mOptions.mMostPause);
+    const auto pause = std::chrono::duration_cast<Duration>(took / mOptions.mMaxShare - took);
+    mDue = aEnded + std::min(pause, mOptions.mMaxPause);
   }
 
 private:
