--- a/include/pepperbay/coordinator/coordinator.hpp
+++ b/include/pepperbay/coordinator/coordinator.hpp
@@ -1,9 +1,11 @@
 /// @file
-/// @brief The control state of one node before a pool of engines. One thread owns it.
+/// @brief The control state of one node in front of a pool of engines. Owned by one thread.
 ///
-/// Follows the platform's store, talks to the other nodes, and, while it holds the lease, forms and
-/// repairs replicas. It opens no socket: all that goes out goes through hooks, whose answers come
-/// back on the same thread. Tests drive it with fakes and a paused clock.
+/// Follows the platform's store, exchanges messages with the other nodes and, while it holds the
+/// lease, forms and repairs replicas. A replica is a group of engines of which one, the head,
+/// receives the requests. The delegates are the nodes of a data centre that all its other nodes
+/// exchange heartbeats with. Opens no socket: everything outgoing goes through hooks, whose answers
+/// return on the same thread. Tests run it with fakes and a simulated clock.
 #pragma once
 
 #include "pepperbay/coordinator/coordinator_bounds.hpp"
@@ -31,83 +33,87 @@
   std::string mNode;
   std::uint64_t mIncarnation = 0;
   std::string mDataCentre;
-  std::string mAddress;          ///< where this node hears its peers
-  std::string mAllocatorAddress; ///< where its place desk hears others; see places/place_agent.hpp
-  /// Where it carries connections to engines for others, and what those have to name; empty: it
-  /// does not. See tunnel/tunnel_server.hpp.
+  std::string mAddress; ///< `IP:port` at which this node receives messages of peers
+  std::string
+    mAllocatorAddress; ///< where its slot allocator receives messages; see places/place_agent.hpp
+  /// Where it tunnels connections to engines for other nodes, and the key that these must present;
+  /// empty: it does not tunnel. See tunnel/tunnel_server.hpp.
   std::string mTunnelAddress;
   std::string mTunnelKey;
-  std::size_t mMaxProxies = 8; ///< peers that it may ask for connections to engines
-  /// Processor that this process may use, in thousandths of a core; 0: not told.
+  std::size_t mMaxProxies = 8; ///< peers through which it may tunnel
+  /// CPU available to this process, in thousandths of a core; 0: unknown.
   int mCpuPermille = 0;
-  /// A node with less than half of another's processor, or one that reaches no engine by itself
-  /// while another does, waits this much longer for the lease. Whoever holds it follows every
-  /// engine's registration, asks and orders; with an eighth of a core before 160 engines its rounds
-  /// take 300 ms in place of 20, answers lie unread until their timeouts have run out, and engines
-  /// that live are taken for lost. Longer than the stagger of all stronger nodes and a call to the
-  /// store together, a third of the lease.
+  /// Additional wait before a node claims the lease that has less than half of another node's CPU,
+  /// or that reaches no engine directly while another node does. The lease holder follows every
+  /// engine's registration and sends status requests and orders; with an eighth of a core in front
+  /// of 160 engines its rounds take 300 ms instead of 20, answers stay unread until their timeouts
+  /// have expired, and live engines are taken for lost. Longer than the stagger of all stronger
+  /// nodes and a call to the store together; a third of the lease.
   Duration mWeakerNodeDelay = std::chrono::milliseconds(400);
-  /// A weaker holder gives the lease to a stronger node at most once in this time; one that does
-  /// not take it has lost the store, or is about to end.
+  /// A weaker holder yields the lease to a stronger node at most once in this time. A node that
+  /// does not take it has lost the store, or is about to stop.
   Duration mYieldInterval = std::chrono::seconds(15);
   Duration mBeat = std::chrono::milliseconds(200);
-  /// A peer that is silent for this long does not count as a node at work.
+  /// A peer that has sent no heartbeat for this long is not counted as live.
   Duration mPeerSilence = std::chrono::milliseconds(1200);
   Duration mLease = std::chrono::milliseconds(1200);
   CoordinatorBounds mBounds;
-  /// How long the store holds a read of the configuration. It bounds how old the configuration of a
-  /// node whose reader is well may seem: this, and a heartbeat with its answer.
+  /// Long-poll time of a configuration read. It bounds the apparent age of the configuration at a
+  /// node whose reader works: this, and a heartbeat with its answer.
   Duration mConfigWait = std::chrono::milliseconds(700);
-  /// A store that does not answer a node which doubts what it is told is asked again after this,
-  /// and then after twice the time up to mBounds.mLookAgainMost.
+  /// First pause between direct reads of the store by a node whose forwarded records are too old,
+  /// while the store does not answer; doubled each time up to mBounds.mMaxDirectReadPause.
   Duration mMinDirectReadPause = std::chrono::milliseconds(400);
-  /// The same for a node that is told all by others: it asks only whether the store is back.
+  /// Upper limit of that pause while other nodes forward all records: the node then only probes
+  /// whether the store is back.
   Duration mMaxOutageProbePause = std::chrono::seconds(5);
-  /// How long the store holds a read of registrations. A connection that has gone silent shows by
-  /// a read that is not answered after it and a second more, which together have to be below the
-  /// time in which a node must stop sending to an engine that leaves.
+  /// Long-poll time of a registrations read. A dead connection is detected by a read that is not
+  /// answered within this and another second; the sum must be below the time in which a node must
+  /// stop sending to an engine that leaves.
   Duration mEngineWait = std::chrono::milliseconds(600);
-  /// Shortest time between two reads of registrations: of the holder, whose repairs wait for them;
-  /// of a node that reads for others, or that has missed what was passed on; and of one that has
-  /// nobody to read for it. Replicas are heard of from the holder; each read is a paid call.
+  /// Shortest time between two reads of registrations: by the lease holder, whose repairs wait for
+  /// them; by a node that reads for others, or that has missed forwarded records; and by a node
+  /// that has no other reader. Replica states come from the holder; each read is a billed call.
   Duration mHolderPause = std::chrono::milliseconds(25);
   Duration mReaderPause = std::chrono::milliseconds(400);
   Duration mOtherPause = std::chrono::milliseconds(1000);
-  /// How long the store holds a read of the list of nodes, and the shortest time between two. All
-  /// nodes of a fleet start within a third of a second, each before it hears a delegate; without a
-  /// pause each of their records answered the reads of all, 1,400 calls of 36 nodes in a test.
+  /// Long-poll time of a read of the list of nodes, and the shortest time between two. All nodes of
+  /// a fleet start within a third of a second, before they receive anything from a delegate;
+  /// without a pause each node's record completed the reads of all others, 1,400 calls of 36 nodes
+  /// in a test.
   Duration mNodeWait = std::chrono::seconds(20);
   Duration mNodePause = std::chrono::milliseconds(250);
   Duration mOrderTimeout = std::chrono::milliseconds(120);
-  /// An engine that does not answer within this is taken for lost, if a second question that was
-  /// sent at the same moment has no answer either.
+  /// An engine that does not answer within this is considered lost, if a second request sent at the
+  /// same time is not answered either.
   Duration mAskTimeout = std::chrono::milliseconds(110);
-  /// Many nodes have streams at one head and notice the same pause within some 50 ms of each other.
-  /// Their members answer in 5 ms, so each suspicion asked them all once more.
+  /// Pause before the members of a head's replica are probed again. Many nodes have streams at one
+  /// head and notice the same pause within some 50 ms of each other. Members answer in 5 ms, so
+  /// each node's suspicion would probe them all once more.
   Duration mAskHeadAgain = std::chrono::milliseconds(100);
-  /// Lost engines that are still registered are asked again after this.
+  /// Interval at which lost engines that are still registered are probed again.
   Duration mAskAgain = std::chrono::milliseconds(700);
-  /// An engine is asked for its state at most this often.
+  /// Shortest time between two status requests to one engine.
   Duration mAskState = std::chrono::milliseconds(250);
   RateLeaseOptions mRateLeases;
   GroupPlannerOptions mPlanner;
 };
 
-/// The outside world as the coordinator needs it.
+/// Everything outside of the process that the coordinator uses.
 struct CoordinatorHooks
 {
   NowFn mNow;
   KeyedLogHooks mConfigLog;
   KeyedLogHooks mEngineLog;
-  /// The nodes' own log: where each hears its peers, and requests that all hold back.
+  /// The nodes' own log: the addresses of nodes, and requests that all nodes quarantine.
   KeyedLogHooks mNodeLog;
   LogLeaseHooks mLeaseLog;
-  /// The key under which the operator's configuration stands in its log.
+  /// The key of the operator's configuration in its log.
   std::string mConfigKey;
   std::function<Result<Configuration>(const std::string& aBody)> mDecodeConfiguration;
   std::function<Result<EngineRecord>(const std::string& aId, const std::string& aBody)>
     mDecodeEngine;
-  /// Write a record of the nodes' log; without a value its key is dropped.
+  /// Writes a record of the nodes' log; an empty value removes the key.
   std::function<
     void(const std::string& aKey, const std::string& aValue, std::function<void(Result<void>)>)>
     mPutNode;
@@ -121,32 +127,35 @@
   std::function<void(const char* aEvent, const std::map<std::string, std::string>& aFields)> mLog;
 };
 
-/// Counts since the start; see docs/OPERATIONS.md.
+/// Counters since the start of the process, and gauges where marked `now`; see docs/OPERATIONS.md.
 struct CoordinatorCounters
 {
   std::map<std::string, std::uint64_t> mOrders; ///< by kind and answer
-  /// Replicas given up for a model that is asked for more, by the model that they served.
+  /// Replicas dissolved in favour of a model with more demand, by the model that they served.
   std::map<std::string, std::uint64_t> mReplicasGivenUp;
   std::map<std::string, std::uint64_t> mStoreCalls; ///< by log and reason
   std::uint64_t mAsks = 0;
-  /// Times that an engine was found not to answer, by whose words; see LostBy.
+  /// Times that an engine became lost, by the vantage points that found it; see LostBy.
   std::map<std::string, std::uint64_t> mLostEngines;
-  /// Times that one of them had ended, by the evidence; see LostEvidence.
+  /// Times that a lost engine was found to have exited, by the evidence; see LostEvidence.
   std::map<std::string, std::uint64_t> mExitedEngines;
-  std::uint64_t mPauses = 0;    ///< lost engines that answered before they counted as ended
-  std::uint64_t mUndecided = 0; ///< times that no node with sight had a word on a silent engine
+  std::uint64_t mPauses = 0; ///< lost engines that answered again before they counted as exited
+  std::uint64_t mUndecided =
+    0; ///< times that no node that reaches engines had evidence on a silent engine
   std::uint64_t mBeats = 0;
-  std::uint64_t mFeeds = 0;       ///< times that another node passed records of the store on
-  std::uint64_t mDirectReads = 0; ///< reads of the store because what others told was too old
+  std::uint64_t mFeeds = 0; ///< batches of store records forwarded by another node
+  std::uint64_t mDirectReads =
+    0; ///< direct reads of the store because forwarded records were too old
   std::uint64_t mBadMessages = 0;
   std::uint64_t mBadConfigurations = 0;
-  std::uint64_t mBadRegistrations = 0;    ///< entries that name no engine
-  std::uint64_t mRestarts = 0;            ///< engines that started again under their id
-  std::uint64_t mStaleIncarnations = 0;   ///< words of a start that has been replaced; not taken
-  std::uint64_t mSuspectRequests = 0;     ///< under which engines have ended; now
-  std::uint64_t mQuarantinedRequests = 0; ///< of these, held back; now
-  std::uint64_t mStoreRestored = 0;       ///< logs that came back from an older copy
-  std::uint64_t mBadSuspects = 0;         ///< words of suspect requests that could not be read
+  std::uint64_t mBadRegistrations = 0;    ///< registrations that could not be decoded
+  std::uint64_t mRestarts = 0;            ///< engines that restarted under the same id
+  std::uint64_t mStaleIncarnations = 0;   ///< messages of a stale incarnation, ignored
+  std::uint64_t mSuspectRequests = 0;     ///< requests under which engines have exited; now
+  std::uint64_t mQuarantinedRequests = 0; ///< of these, quarantined; now
+  std::uint64_t mStoreRestored = 0;       ///< logs that the store restored from an older copy
+  std::uint64_t mBadSuspects =
+    0; ///< records or messages on suspect requests that could not be decoded
 };
 
 class Coordinator
@@ -157,35 +166,35 @@
   Coordinator(const Coordinator&) = delete;
   Coordinator& operator=(const Coordinator&) = delete;
 
-  /// Do all that is due; call every few tens of milliseconds.
+  /// Performs all due work; call every few tens of milliseconds.
   void Tick();
-  /// Bytes of one message of a peer.
+  /// Handles the bytes of one message of a peer.
   void OnMessage(const std::string& aBytes);
-  /// A head has been silent towards this node's streams.
+  /// Reports that a head has sent nothing on this node's streams for `aSilence`.
   void OnSuspect(const std::string& aHead, Duration aSilence);
-  /// A head refuses this node's requests.
+  /// Reports that a head refuses this node's requests.
   void OnRefused(const std::string& aHead);
-  /// This node's own connections for requests reach engines again, or no longer.
+  /// Reports whether this node's own connections for requests reach engines.
   void SetReach(bool aReaches);
-  /// An engine ended that had a request of this node.
+  /// Reports that an engine exited while it had a request of this node.
   void OnEngineEnded(const RequestKey& aRequest, const EngineEnd& aEnd);
-  /// An engine ran a request to its end under which others have ended.
+  /// Reports that an engine completed a request under which others had exited.
   void OnRanToCompletion(const RequestKey& aRequest);
-  /// An operator lets a request run again. @return whether anything was known of it
+  /// Releases a request from quarantine on behalf of an operator. @return whether it was known
   bool Lift(const RequestKey& aRequest);
-  /// Requests in progress, by engine: this node's own and those that it found places for.
+  /// Sets the requests in flight by engine: this node's own and those that it assigned slots to.
   void SetInFlight(std::unordered_map<std::string, int> aInFlight, bool aTraffic);
-  /// Limits of engines as this node and those that it finds places for have been told.
+  /// Sets the engines' limits as known to this node and to those that it assigns slots for.
   void SetLimits(EngineLimits aLimits);
-  /// Fail readiness and give the lease back.
+  /// Fails readiness and releases the lease.
   void BeginStop();
-  /// New promises take force at once.
+  /// Applies new bounds at once.
   void SetBounds(const CoordinatorBounds& aBounds);
 
   bool IsReady() const;
   bool HoldsLease() const;
   const CoordinatorCounters& Counters() const;
-  /// @return the whole control state as JSON, for people.
+  /// @return the complete control state as JSON, for people.
   std::string Dump() const;
 
 private:
--- a/include/pepperbay/coordinator/engine_call.hpp
+++ b/include/pepperbay/coordinator/engine_call.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief How an order or a question goes to an engine.
+/// @brief How an order or a status request is sent to an engine.
 #pragma once
 
 #include "pepperbay/base/clock.hpp"
@@ -12,10 +12,11 @@
 struct EngineCallOptions
 {
   Duration mTimeout{ 0 };
-  /// The peer that it goes through; none: directly. A question that ends without an answer then has
-  /// the error kCancelled where the peer has no word on the engine, or reaches no other either.
+  /// The peer through which the call is tunnelled; none: directly. A status request that ends
+  /// without an answer has the error kCancelled where the peer has no evidence on the engine, or
+  /// reaches no other engine either.
   std::optional<ProxyPeer> mVia;
-  /// Over a connection that is begun for it: one that was kept may live on in a cut.
+  /// Opens a new connection: a pooled one may survive in a network partition.
   bool mOwnConnection = false;
 };
 
--- a/include/pepperbay/coordinator/rate_leases.hpp
+++ b/include/pepperbay/coordinator/rate_leases.hpp
@@ -1,10 +1,10 @@
 /// @file
-/// @brief Which node counts the requests that go to engines with a limit. Pure.
+/// @brief Which node counts the requests to engines with a rate limit. Pure.
 ///
-/// A limit is one engine's and many nodes send there, so one node has to count, and two that count
-/// at once would let twice the limit through. The holder of the pool's lease gives the right to
-/// count for a while, by data centre of the engines, to the desk that grants the places there. A
-/// holder that takes over gives none until those of the one before have run out.
+/// A limit belongs to one engine and many nodes send there, so exactly one node must count; two
+/// that count at once would let twice the limit through. The holder of the pool's lease grants rate
+/// leases, by data centre of the engines, to the slot allocators there. A new holder grants none
+/// until those of the previous holder have expired.
 #pragma once
 
 #include "pepperbay/routing/traffic_plan.hpp"
@@ -18,39 +18,41 @@
 
 struct RateLeaseOptions
 {
-  /// Five heartbeats: a lost one must not end it, and while nobody counts nodes have only a small
-  /// part of each limit.
+  /// Five heartbeats: a lost one must not end the lease, and while no node counts, each node has
+  /// only a small part of each limit.
   Duration mLength = std::chrono::milliseconds(1000);
-  /// How much faster one clock may run than another.
+  /// Maximum drift between two clocks.
   int mDriftPermille = 20;
-  /// Of those who have asked within this time, one with more than twice as many followers goes
-  /// first: a desk that one node follows must not keep the right from that of all others.
+  /// Of the nodes that asked within this time, one with more than twice as many followers has
+  /// priority: an allocator that one node follows must not keep the lease from the one that all
+  /// others follow.
   Duration mContestWindow = std::chrono::milliseconds(600);
 };
 
-/// Who asks to count.
+/// A node that asks for rate leases.
 struct RateLeaseRequester
 {
   std::string mNode;
   std::uint64_t mIncarnation = 0;
-  std::size_t mFollowers = 0; ///< nodes that it finds places for
+  std::size_t mFollowers = 0; ///< nodes for which it assigns slots
 };
 
-/// The holder's account of what it has given.
+/// The lease holder's record of the rate leases that it has granted.
 ///
 /// @code
-/// if (lease.Held()) { book.Begin(lease.Fence(), now); given = book.Give(asker, centres, now); }
+/// if (lease.Held()) { table.Begin(lease.Fence(), now); granted = table.Grant(node, zones, now); }
 /// @endcode
 class RateLeaseTable
 {
 public:
   explicit RateLeaseTable(RateLeaseOptions aOptions = {});
 
-  /// This node holds the pool's lease, in this tenure. What a former holder gave may still run.
+  /// Starts a term in which this node holds the pool's lease. Rate leases of a former holder may
+  /// still be valid.
   void Begin(std::uint64_t aFence, TimePoint aNow);
-  /// Call it only while the lease is held.
-  /// @return of the data centres, those in which the asker may count, for `Length()` from its
-  /// question on
+  /// Grants rate leases. Precondition: the pool's lease is held.
+  /// @return those of the data centres whose requests the node may count, for `Length()` from the
+  /// time of its request
   std::vector<std::string> Grant(const RateLeaseRequester& aRequester,
                                  const std::vector<std::string>& aDataCentres,
                                  TimePoint aNow);
@@ -66,31 +68,31 @@
   {
     std::string mNode;
     std::uint64_t mIncarnation = 0;
-    TimePoint mUntil{}; ///< by the slowest clock
+    TimePoint mUntil{}; ///< expiry by the slowest clock
     std::map<std::string, Asked> mRequesters;
   };
 
-  /// @return by when a right that is given at a time has run out for certain.
+  /// @return when a lease granted at this time has certainly expired.
   TimePoint EndOf(TimePoint aGranted) const;
-  /// @return the most followers of those that have asked lately.
+  /// @return the largest number of followers among recent requesters.
   std::size_t MaxFollowers(Entry* aEntry, TimePoint aNow) const;
 
   RateLeaseOptions mOptions;
   std::uint64_t mFence = 0;
-  TimePoint mFrom{};                     ///< nothing is given before
+  TimePoint mFrom{};                     ///< no lease is granted before
   std::map<std::string, Entry> mEntries; ///< by data centre
 };
 
-/// A desk's account of what it has been given.
+/// The rate leases that a slot allocator holds.
 class HeldRateLeases
 {
 public:
-  /// @param aAskedAt by this node's clock, as the answer names it
+  /// @param aAskedAt time of the request by this node's clock, as echoed in the answer
   void OnGranted(const std::vector<std::string>& aDataCentres,
                  TimePoint aAskedAt,
                  Duration aLength,
                  TimePoint aNow);
-  /// @return what still runs.
+  /// @return the leases that have not expired.
   RateLeases Current(TimePoint aNow);
 
 private:
