--- a/src/pepperbay/coordinator/direct_read_backoff.hpp
+++ b/src/pepperbay/coordinator/direct_read_backoff.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief When a node that doubts what it is told asks the store itself again. Pure.
+/// @brief When a node with outdated records reads the store directly again. Pure.
 #pragma once
 
 #include "pepperbay/base/clock.hpp"
@@ -8,10 +8,10 @@
 
 namespace pepperbay {
 
-/// A pause that doubles from one question to the next.
+/// A pause that doubles from one read to the next.
 ///
-/// What bounds the pause may change while it lasts: a node that the store does not answer asks
-/// seldom while others tell it what it needs, and has to ask sooner once they do not.
+/// The upper limit may change during a pause: a node that the store does not answer reads seldom
+/// while others forward what it needs, and must read sooner once they do not.
 class DirectReadBackoff
 {
 public:
--- a/src/pepperbay/coordinator/engine_calls.hpp
+++ b/src/pepperbay/coordinator/engine_calls.hpp
@@ -1,11 +1,12 @@
 /// @file
-/// @brief Orders and questions to engines: how many are under way at once, and what silence means.
-/// Pure but for its hooks.
+/// @brief Orders and status requests to engines: limits those in flight and interprets missing
+/// answers. Pure but for its hooks.
 ///
-/// A node that begins more calls than it can read the answers of finds each call's time over before
-/// it has looked. Taken for silence of the engines that leads to more calls: to repeats, to
-/// questions, to replicas that are formed anew. So the number of calls under way follows how
-/// quickly answers are read, and an engine is silent only where this node was in time to hear it.
+/// A node that starts more calls than it can read answers for finds each call timed out before it
+/// has read the answer. Taken for silence of the engines this leads to more calls: retries, status
+/// requests, and replicas re-formed without need. So the number of calls in flight follows how
+/// quickly answers are read, and an engine counts as silent only where this node was in time to
+/// read its answer.
 #pragma once
 
 #include "pepperbay/base/clock.hpp"
@@ -21,17 +22,16 @@
 
 struct EngineCallsOptions
 {
-  /// Calls under way at once. Each answer that is read soon allows one more, and one that is read
-  /// late half as many.
+  /// Window of calls in flight. Each prompt answer increases it by one, and a late one halves it.
   int mMinWindow = 4;
   int mInitialWindow = 32;
   int mMaxWindow = 128;
-  /// Share of them that orders leave free for questions, without which orders cannot go on.
+  /// Share of the window that orders leave free for status requests, which orders depend on.
   double mReservedForStatusRequests = 0.25;
-  /// Engines answer within a few milliseconds; what is beyond is this node's own time.
+  /// Engines answer within a few milliseconds; any longer time is this node's own delay.
   Duration mPromptReply = std::chrono::milliseconds(30);
   Duration mLateReply = std::chrono::milliseconds(60);
-  /// The end of a call's time that is told later than this was told by a node that is late.
+  /// A time-out that is reported later than this after its due time shows that this node is late.
   Duration mLateTimeout = std::chrono::milliseconds(30);
 };
 
@@ -50,30 +50,31 @@
 public:
   EngineCalls(EngineCallsOptions aOptions, EngineCallsHooks aHooks);
 
-  /// Give an order. The answer is kUnread where this node was too late to hear one.
+  /// Sends an order. The answer is kUnread where this node was too late to read one.
   void Order(const GroupOrder& aOrder,
              const EngineCallOptions& aOptions,
              std::function<void(OrderAnswer)> aDone);
-  /// Ask an engine. The error is kCancelled where this node was too late to hear an answer.
+  /// Sends a status request. The error is kCancelled where this node was too late to read an
+  /// answer.
   void Ask(const EngineRecord& aEngine,
            const EngineCallOptions& aOptions,
            std::function<void(Result<EngineReport>)> aDone);
 
-  /// @return how many orders may be given now.
+  /// @return how many orders may be sent now.
   int RoomForOrders() const;
-  /// @return whether a question may be put now.
+  /// @return whether a status request may be sent now.
   bool RoomForStatusRequest() const { return mOpen < mWindow; }
-  /// Calls that may be under way at once.
+  /// Calls that may be in flight at once.
   int Window() const { return mWindow; }
-  /// When engines last answered this node directly.
+  /// Times at which engines last answered this node directly.
   const LastHeard& LastReplies() const { return mLastReplies; }
-  /// Calls whose answer this node was too late to hear.
+  /// Calls that timed out while this node was too late to read an answer.
   std::uint64_t Unread() const { return mUnread; }
 
 private:
-  /// @return whether a call that ended without an answer tells nothing of the engine.
+  /// @return whether a call that ended without an answer is no evidence on the engine.
   bool OnEnd(TimePoint aBegun, Duration aTimeout, bool aAnswered);
-  /// An engine has answered.
+  /// Records an engine's direct reply.
   void NoteReply(const std::string& aEngine, const EngineCallOptions& aOptions);
   void Shrink();
 
@@ -83,7 +84,7 @@
   int mWindow;
   std::uint64_t mUnread = 0;
   LastHeard mLastReplies;
-  TimePoint mLastShrunk{}; ///< calls that began before this say nothing of the window as it is now
+  TimePoint mLastShrunk{}; ///< calls started before this do not change the present window
 };
 
 } // namespace pepperbay
--- a/src/pepperbay/coordinator/engine_suspicions.cpp
+++ b/src/pepperbay/coordinator/engine_suspicions.cpp
@@ -5,7 +5,7 @@
 
 namespace pepperbay {
 namespace {
-/// Places that must have no answer of an engine.
+/// Vantage points without an answer that make an engine lost.
 constexpr int kRequiredVantagePoints = 2;
 }
 
@@ -71,8 +71,8 @@
   const TimePoint now = mHooks.mNow();
   const auto lastReply = mLastReplies.find(aEngine);
   const TimePoint reported = std::min(aReported.value_or(now), now);
-  // What was told is older than an answer: something else kept the streams, and the silence begins
-  // with this question.
+  // The reported time is before the last reply: something else stalled the streams, and the silence
+  // begins with this probe.
   return lastReply != mLastReplies.end() && lastReply->second > reported ? now : reported;
 }
 
@@ -88,7 +88,7 @@
 {
   Investigation& investigation = mInvestigations.at(aEngine);
   ++investigation.mRounds;
-  // Counted first: a hook may answer at once.
+  // Incremented first: a hook may answer synchronously.
   ++investigation.mOpen;
   if (!HasPeers()) {
     AskDirectly(&investigation);
@@ -122,7 +122,7 @@
   aInvestigation->mPeers.insert(peer->mNode);
   ++aInvestigation->mOpen;
   ++mAsked;
-  // What was asked beside it directly has been under way for a while.
+  // The direct probe has been in flight for mPeerAfter; both time out together.
   const Duration since = aInvestigation->mPeerDue ? mOptions.mPeerAfter : Duration::zero();
   mHooks.mAsk(aInvestigation->mEngine,
               { mOptions.mAskTimeout - since, peer },
@@ -150,7 +150,7 @@
 {
   const auto it = mInvestigations.find(aEngine.mId);
   if (it == mInvestigations.end() || it->second.mEngine.mBorn != aEngine.mBorn) {
-    return; // the question was put to a start that has been replaced
+    return; // the probe was sent to a stale incarnation
   }
   Investigation& investigation = it->second;
   const bool first = aReport.has_value() && !std::exchange(investigation.mAnswered, true);
@@ -196,7 +196,7 @@
                              const Error& aError)
 {
   const bool missed = aError.mCode == Errc::kCancelled;
-  // A question that this process could not put says nothing of the engine.
+  // A probe that this process could not send is no evidence on the engine.
   const bool conclusive = !missed && aError.mCode != Errc::kInternal;
   const bool refused = aError.mCode == Errc::kRefused;
   if (aPeer.empty()) {
@@ -273,8 +273,8 @@
     return;
   }
   mInvestigations.erase(it);
-  // Where no second place has a word, one that reaches other engines is enough: a repair must not
-  // wait for nodes that are gone.
+  // Without evidence from a second vantage point, one that reaches other engines is enough: a
+  // repair must not wait for nodes that are gone.
   const LostBy alone = here ? LostBy::kOwnProbeOnly : LostBy::kPeerProbeOnly;
   Decide(investigation,
          vantagePoints == 0
@@ -297,7 +297,8 @@
     lost = { now, aInvestigation.mSilentSince, aInvestigation.mBegun, false };
   }
   const bool refused = IsRefused(aInvestigation);
-  // An engine that has gone on is heard by the last question, which must not be from before.
+  // An engine that has resumed answers the last probe, which must have been sent after the longest
+  // pause.
   const bool outlasts = !fresh && aInvestigation.mBegun - lost.mSilentSince >= mOptions.mMaxPause;
   const bool ends = !lost.mExited && (refused || outlasts);
   lost.mExited = lost.mExited || ends;
@@ -318,7 +319,8 @@
 bool
 EngineSuspicions::IsRefused(const Investigation& aInvestigation) const
 {
-  // A path may refuse what the engine would take: each place that counts has to say it, up to two.
+  // A device on one path may refuse connections that the engine would accept, so each vantage point
+  // that counts must report a refusal, up to two.
   const bool here =
     aInvestigation.mOwnProbeFailed && (aInvestigation.mReachesOthers || !HasPeers());
   const int vantagePoints = aInvestigation.mFailedPeerProbes + (here ? 1 : 0);
--- a/src/pepperbay/coordinator/engine_suspicions.hpp
+++ b/src/pepperbay/coordinator/engine_suspicions.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// @brief Engines that do not answer, found by asking from two places; and when to ask again. Pure
-/// but for its hooks.
+/// @brief Detects lost engines by probes from two vantage points and schedules the probes. Pure but
+/// for its hooks.
 #pragma once
 
 #include "pepperbay/base/clock.hpp"
@@ -21,62 +21,63 @@
 struct EngineSuspicionsOptions
 {
   Duration mAskTimeout = std::chrono::milliseconds(110);
-  /// An engine that is well answers within a few milliseconds; a peer is asked beside after this,
+  /// A healthy engine answers within a few milliseconds; after this a peer is asked in parallel,
   /// and has the rest of mAskTimeout.
   Duration mPeerAfter = std::chrono::milliseconds(40);
-  /// Engines that have ended are asked again after this.
+  /// Interval of probes of engines that have exited.
   Duration mAskAgain = std::chrono::milliseconds(700);
-  /// The same for those that are only silent: they may go on at any moment.
+  /// Interval of probes of engines that are only silent: they may resume at any moment.
   Duration mAskSilent = std::chrono::milliseconds(200);
-  /// An engine that is well may be silent for so long.
+  /// Longest silence of a healthy engine.
   Duration mMaxPause = GroupPlannerOptions().mPauseMost;
-  /// What an engine says of itself is some 200 ms old; asking more often tells little more.
+  /// An engine's status is some 200 ms old when it reports it, so more frequent requests add
+  /// little.
   Duration mAskState = std::chrono::milliseconds(250);
-  /// An engine on which too few places have a word is asked so many times in a row.
+  /// Rounds of probes in a row while too few vantage points have evidence on an engine.
   int mMaxRounds = 3;
 };
 
-/// Whose words have made an engine count as lost.
+/// The vantage points whose evidence made an engine count as lost.
 enum class LostBy
 {
   kTwoVantagePoints,
-  kOwnProbeOnly,  ///< no second place had a word
-  kPeerProbeOnly, ///< a peer's; this node's own does not count, and no other peer had one
+  kOwnProbeOnly,  ///< no other vantage point had evidence
+  kPeerProbeOnly, ///< a peer's evidence; this node's own does not count, and no other peer had any
   kNoPeers,       ///< there are no other nodes
 };
 
 const char*
 ToString(LostBy aBy);
 
-/// What an engine's loss rests on.
+/// The kind of evidence for an engine's loss.
 enum class LostEvidence
 {
-  kSilent,  ///< nothing but questions without an answer
-  kRefused, ///< its host has refused connections: no process listens there
+  kSilent,  ///< only probes without an answer
+  kRefused, ///< its host refused connections: no process listens there
 };
 
 const char*
 ToString(LostEvidence aEvidence);
 
-/// What has become known of an engine under suspicion.
+/// The result of the probes of an engine under suspicion.
 struct EngineVerdict
 {
   std::optional<LostBy> mLostBy; ///< none: it answers again
-  std::string mError;            ///< how the last question ended, where it is lost
+  std::string mError;            ///< error of the last probe, if the engine is lost
   LostEvidence mEvidence = LostEvidence::kSilent;
-  bool mExited = false;     ///< it will not go on; once it answers: it had been taken for that
-  bool mWasLost = false;    ///< known to be lost before this verdict
-  Duration mSilentFor{ 0 }; ///< since its last word, as far as known
+  bool mExited = false;  ///< it will not resume; if it answers again: it had been considered exited
+  bool mWasLost = false; ///< known to be lost before this verdict
+  Duration mSilentFor{ 0 }; ///< since its last reply, as far as known
   Duration mLostFor{ 0 };   ///< until it answers again
 };
 
 /// An engine that does not answer.
 struct LostEngine
 {
-  TimePoint mSince{};       ///< it counts as lost
-  TimePoint mSilentSince{}; ///< its last word, as far as known
-  TimePoint mAsked{};       ///< last
-  bool mExited = false;     ///< by more than silence, or by a longer one than a sound engine's
+  TimePoint mSince{};       ///< when it became lost
+  TimePoint mSilentSince{}; ///< its last reply, as far as known
+  TimePoint mAsked{};       ///< time of the last probe
+  bool mExited = false; ///< shown by more than silence, or by a longer one than a healthy engine's
 };
 
 struct EngineSuspicionsHooks
@@ -86,125 +87,127 @@
     void(const EngineRecord&, const EngineCallOptions&, std::function<void(Result<EngineReport>)>)>
     mAsk;
   std::function<void(const EngineRecord&, const EngineReport&)> mOnAnswer;
-  /// An engine has become lost, a lost one has ended, or one of them answers.
+  /// Called when an engine becomes lost, when a lost one is found to have exited, and when a lost
+  /// one answers.
   std::function<void(const EngineRecord&, const EngineVerdict&)> mOnChange;
-  /// Whether a question may be put now; null: any number.
+  /// Whether another request may be sent now; null: always.
   std::function<bool()> mMayAsk = nullptr;
 
-  // The other places. Where these are null there is none, and this node judges alone.
-  /// A peer to ask through that is not among those tried; none: there is none left.
+  // The other vantage points. Where these are null there are none, and this node decides alone.
+  /// Picks a peer to probe through that is not in `aTried`; none: there is none left.
   std::function<std::optional<ProxyPeer>(const EngineRecord&, const std::set<std::string>& aTried)>
     mPickPeer = nullptr;
-  /// Whether other nodes are there at all.
+  /// Whether there are other nodes at all.
   std::function<bool()> mHasPeers = nullptr;
-  /// Whether this node is known to reach no engine by itself.
+  /// Whether this node is known to reach no engine directly.
   std::function<bool()> mIsUnreached = nullptr;
-  /// Find out whether this node reaches another engine now, see SightLooks. `aDone` may be called
-  /// before this returns.
+  /// Checks whether this node reaches another engine now, see ReachabilityProbes. `aDone` may be
+  /// called before this returns.
   std::function<void(const EngineRecord& aNotThis, std::function<void(bool aReachesOthers)> aDone)>
     mCheckReachability = nullptr;
-  /// A peer has an answer of an engine that this node's own question has none of.
+  /// A peer has an answer of an engine that did not answer this node directly.
   std::function<void(const EngineRecord&, TimePoint aBegun)> mOnPathFault = nullptr;
 };
 
-/// Asks engines under suspicion.
+/// Probes engines under suspicion.
 ///
-/// A question goes out directly, and one through a peer where that has no answer soon; an engine is
-/// lost when two places have no answer in time that reach other engines after that. A node that
-/// is partitioned from the engines, or has a poor link, would otherwise take all of them for lost
-/// and have every node refuse what it could serve; and one lost packet must not darken a replica. A
-/// place that was not heard, or reaches nothing itself, says nothing, and another is asked. Where
-/// there are no other nodes two questions go out at once, both this node's own.
+/// A probe is sent directly, and one through a peer if the first is not answered soon. An engine is
+/// lost when it does not answer in time from two vantage points that reach other engines
+/// afterwards. Otherwise a node that is partitioned from the engines, or has a poor link, would
+/// consider all of them lost and make every node refuse what it could serve; and one lost packet
+/// must not take a replica out of service. A vantage point that got no reply through, or reaches no
+/// engine itself, is no evidence, and another one is used. Where there are no other nodes, this
+/// node sends two probes at once.
 ///
-/// A lost engine is to get no new requests, which can be undone. What cannot be undone waits until
-/// the engine has ended: refused connections show that at once, silence once it has outlasted the
-/// pause of a sound engine.
+/// A lost engine gets no new requests, which can be undone. What cannot be undone waits until the
+/// engine is known to have exited: refused connections show that at once, silence only once it has
+/// exceeded the longest pause of a healthy engine.
 class EngineSuspicions
 {
 public:
   EngineSuspicions(EngineSuspicionsOptions aOptions, EngineSuspicionsHooks aHooks);
 
-  /// Ask an engine that may be lost, unless it is being asked; at a later Tick() where no question
-  /// may be put now.
-  /// @param aSilentSince since when nothing has come of it, where that is known
+  /// Probes an engine that may be lost, unless it is being probed; if no request may be sent now,
+  /// at a later Tick().
+  /// @param aSilentSince time of the last sign of life, where known
   void Ask(const EngineRecord& aEngine, std::optional<TimePoint> aSilentSince = std::nullopt);
   enum class IfSilent
   {
     kIgnore,
-    kSuspect, ///< it is asked as by Ask()
+    kSuspect, ///< it is probed as by Ask()
   };
-  /// Ask an engine for its state, at most once in mAskState.
+  /// Requests an engine's status, at most once in mAskState.
   void AskOnce(const EngineRecord& aEngine, IfSilent aIfSilent = IfSilent::kIgnore);
-  /// An engine has started again: what was asked of the former start says nothing of this one.
+  /// Drops everything on an engine that has restarted: results for the old incarnation are no
+  /// evidence on the new one.
   void Forget(const std::string& aEngine);
   bool IsLost(const std::string& aEngine) const { return mLost.count(aEngine) != 0; }
-  /// @return whether an engine is lost by more than a silence that may be a pause.
+  /// @return whether an engine has exited: it is lost by more than a silence that may be a pause.
   bool HasExited(const std::string& aEngine) const;
   bool IsAsked(const std::string& aEngine) const { return mInvestigations.count(aEngine) != 0; }
-  /// Ask lost engines again; forget those that nobody needs any more.
-  /// @param aFind an engine that is still registered or a member of a replica, or none
+  /// Probes lost engines again; forgets those that are neither registered nor members of a replica.
+  /// @param aFind returns an engine that is still registered or a member of a replica, or null
   void Tick(const std::function<const EngineRecord*(const std::string&)>& aFind);
   std::uint64_t Asked() const { return mAsked; }
-  /// Engines that did not answer, on which too few places had a word.
+  /// Engines that did not answer, on which too few vantage points had evidence.
   std::uint64_t Undecided() const { return mUndecided; }
   const std::map<std::string, LostEngine>& Lost() const { return mLost; }
 
 private:
-  /// Of one start of one engine.
+  /// The probes of one incarnation of one engine.
   struct Investigation
   {
     EngineRecord mEngine;
     TimePoint mBegun{};
-    TimePoint mSilentSince{}; ///< before it was asked
+    TimePoint mSilentSince{}; ///< as known when the probes began
     int mRounds = 0;
     int mOpen = 0;
-    std::optional<TimePoint> mPeerDue; ///< counts as open until the peer is asked, or need not be
+    std::optional<TimePoint> mPeerDue; ///< counts as open until the peer is probed, or need not be
     bool mAnswered = false;
-    bool mReplyMissed = false;     ///< this node was too late to hear an answer
-    bool mOwnProbeFailed = false;  ///< a question of this node's own had none
+    bool mReplyMissed = false;     ///< this node was too late to read a reply
+    bool mOwnProbeFailed = false;  ///< a direct probe failed
     bool mReachesOthers = false;   ///< another engine has answered this node after that
-    int mFailedPeerProbes = 0;     ///< peers that see other engines and had none
-    bool mOwnProbeRefused = false; ///< all that this node heard of it was a refused connection
-    int mRefusedPeerProbes = 0;    ///< peers that heard the same
-    std::set<std::string> mPeers;  ///< asked
-    std::string mError;            ///< how the last one ended
+    int mFailedPeerProbes = 0;     ///< peers that reach other engines and got no answer
+    bool mOwnProbeRefused = false; ///< the only result of direct probes was a refused connection
+    int mRefusedPeerProbes = 0;    ///< peers with the same result
+    std::set<std::string> mPeers;  ///< already used for a probe
+    std::string mError;            ///< error of the last probe
   };
 
   bool MayAsk() const { return !mHooks.mMayAsk || mHooks.mMayAsk(); }
   bool HasPeers() const { return mHooks.mHasPeers && mHooks.mHasPeers(); }
-  /// Put the questions of one round.
+  /// Sends the probes of one round.
   void AskRound(const std::string& aEngine);
-  /// @return whether there was a peer left to ask
+  /// @return whether a peer was left to probe through
   bool AskThroughPeer(Investigation* aInvestigation);
-  /// Ask the peer that a round has in reserve.
+  /// Probes through the peer that a round has in reserve.
   void AskReservedPeer(Investigation* aInvestigation);
   void AskDirectly(Investigation* aInvestigation);
   void OnAnswer(const EngineRecord& aEngine,
                 const std::string& aPeer,
                 const Result<EngineReport>& aReport);
   void OnNoAnswer(Investigation* aInvestigation, const std::string& aPeer, const Error& aError);
-  /// Find out whether this node's own failure says anything of the engine.
+  /// Checks whether this node's own failed probe is evidence on the engine.
   void CheckReachability(Investigation* aInvestigation);
   void OnReachability(const EngineRecord& aEngine, bool aReachesOthers);
   void FinishProbe(const std::string& aEngine, Investigation* aInvestigation);
   void OnRoundOver(const std::string& aEngine);
-  /// No place has an answer.
-  /// @param aLostBy whose words count; none: too few have a word on the engine
+  /// Concludes probes that got no answer.
+  /// @param aLostBy vantage points with evidence; none: too few
   void Decide(const Investigation& aInvestigation, std::optional<LostBy> aLostBy);
-  /// @return since when an engine that is asked now has been silent.
+  /// @return since when an engine that is about to be probed has been silent.
   TimePoint SilentSince(const std::string& aEngine, std::optional<TimePoint> aReported) const;
   void OnEngineReply(const EngineRecord& aEngine);
-  /// @return whether the places that have no answer have heard refused connections.
+  /// @return whether all vantage points that count, up to two, got refused connections.
   bool IsRefused(const Investigation& aInvestigation) const;
 
   EngineSuspicionsOptions mOptions;
   EngineSuspicionsHooks mHooks;
   std::map<std::string, Investigation> mInvestigations;
-  std::map<std::string, EngineRecord> mWaiting; ///< to be asked as soon as questions may be put
+  std::map<std::string, EngineRecord> mWaiting; ///< to be probed as soon as requests may be sent
   std::map<std::string, LostEngine> mLost;
-  std::map<std::string, TimePoint>
-    mLastReplies;                              ///< last answers, of the longest pause of an engine
-  std::map<std::string, TimePoint> mAskedOnce; ///< when
+  std::map<std::string, TimePoint> mLastReplies; ///< kept for the longest pause of a healthy engine
+  std::map<std::string, TimePoint> mAskedOnce;   ///< time of the last status request
   std::uint64_t mAsked = 0;
   std::uint64_t mUndecided = 0;
 };
--- a/src/pepperbay/coordinator/freshness_tracker.cpp
+++ b/src/pepperbay/coordinator/freshness_tracker.cpp
@@ -6,10 +6,10 @@
 namespace pepperbay {
 namespace {
 
-/// A node that still asks does so with each heartbeat, every 200 ms; one that is silent for this
-/// long has found the store again or is gone.
+/// A node that still asks does so in each heartbeat, every 200 ms; one that has not asked for this
+/// long has reached the store again or is gone.
 constexpr std::chrono::seconds kRequestLifetime{ 1 };
-/// A log that is older than this is as good as not known.
+/// A log with a greater age counts as unknown.
 constexpr std::chrono::milliseconds kMaxLogAge{ std::chrono::hours(1) };
 
 std::uint64_t
@@ -51,7 +51,7 @@
       continue;
     }
     NoteLogs(beat, aOwn, answered);
-    if (beat.config_version() <= aVersion) { // else the peer speaks of a newer one
+    if (beat.config_version() <= aVersion) { // else the peer has a newer one
       mAsOf = std::max(mAsOf, answered - FromNs(beat.config_age_ns()));
     }
   }
@@ -63,13 +63,14 @@
   const bool reported = aBeat.log_age_ms_size() == static_cast<int>(kFollowedLogs) &&
                         aBeat.log_next_size() == static_cast<int>(kFollowedLogs);
   if (!reported) {
-    return; // of an older version
+    return; // sent by an older software version
   }
   for (std::size_t i = 0; i < kFollowedLogs; ++i) {
     const int log = static_cast<int>(i);
     const std::uint64_t age = aBeat.log_age_ms(log);
     const bool known = age < static_cast<std::uint64_t>(kMaxLogAge.count());
-    if (known && aBeat.log_next(log) <= aOwn[i]) { // else it speaks of records unknown here
+    if (known &&
+        aBeat.log_next(log) <= aOwn[i]) { // else the peer has records that are missing here
       mLogAsOf[i] = std::max(mLogAsOf[i], aAnswered - std::chrono::milliseconds(age));
     }
   }
--- a/src/pepperbay/coordinator/freshness_tracker.hpp
+++ b/src/pepperbay/coordinator/freshness_tracker.hpp
@@ -1,12 +1,12 @@
 /// @file
-/// @brief How fresh the configuration and the logs are by the word of other nodes. Pure.
+/// @brief Tracks how recent the configuration and the logs are according to other nodes. Pure.
 ///
-/// A node that the store turns away cannot know whether a key has been taken away since its last
-/// read, and has to refuse all requests with keys a few seconds later. Its peers often reach the
-/// store: one would notice a node that refuses what its neighbours serve. A peer's word may have
-/// been long on its way and clocks differ, so an answer names the question that it answers: the
-/// peer's view is at least as new as the moment at which the question left, less the age that the
-/// peer states.
+/// A node that cannot reach the store does not know whether a key has been revoked since its last
+/// read, and must refuse all requests with keys a few seconds later. Its peers often do reach the
+/// store, and customers would notice a node that refuses what others serve. A peer's statement may
+/// have been delayed and clocks differ, so an answer names the request that it answers: the peer's
+/// view is at least as new as the time at which the request was sent, less the age that the peer
+/// states.
 #pragma once
 
 #include "log_reads.hpp"
@@ -25,29 +25,29 @@
 public:
   FreshnessTracker(std::string aSelf, std::uint64_t aIncarnation);
 
-  /// A peer's heartbeat came.
-  /// @param aVersion of the configuration in force here
-  /// @param aOwn how far this node has been told of each log
+  /// Handles a peer's heartbeat.
+  /// @param aVersion version of the configuration in force here
+  /// @param aOwn this node's next offset in each log
   void OnBeat(const proto::PeerMessage& aMessage,
               std::uint64_t aVersion,
               const LogOffsets& aOwn,
               TimePoint aNow);
 
-  /// Add to a heartbeat how old the configuration here is, and the question when this node asks.
-  /// @param aAsOf when the configuration here was the newest for certain
+  /// Adds the age of the configuration here to a heartbeat and, if `aAsk`, a request for freshness.
+  /// @param aAsOf when the configuration here was certainly the newest
   void Fill(proto::Beat* aBeat, bool aAsk, TimePoint aAsOf, TimePoint aNow);
-  /// @return whether a node has asked lately
+  /// @return whether a node has asked recently
   bool HasAsked(const std::string& aNode) const { return mRequests.count(aNode) != 0; }
-  /// Add the answer to what a node has asked.
+  /// Adds the answer to a node's request.
   void Answer(const std::string& aNode, proto::Beat* aBeat, TimePoint aNow) const;
 
-  /// @return when the configuration here was the newest by the word of peers.
+  /// @return when the configuration here was the newest, according to peers.
   TimePoint AsOf() const { return mAsOf; }
-  /// @return when all that was in a log was known here by the word of peers.
+  /// @return when all records of a log were known here, according to peers.
   TimePoint LogAsOf(FollowedLog aLog) const { return mLogAsOf[static_cast<std::size_t>(aLog)]; }
 
 private:
-  /// @param aAnswered a moment before which the peer did not speak
+  /// @param aAnswered a time at or before which the peer answered
   void NoteLogs(const proto::Beat& aBeat, const LogOffsets& aOwn, TimePoint aAnswered);
 
   struct Request
--- a/src/pepperbay/coordinator/log_reads.hpp
+++ b/src/pepperbay/coordinator/log_reads.hpp
@@ -1,11 +1,11 @@
 /// @file
-/// @brief When a node reads the store's logs itself and when it goes by what another passes on.
-/// Pure.
+/// @brief Decides when a node reads the store's logs itself and when it relies on records that
+/// another node forwards. Pure.
 ///
-/// Every call to the store is paid for and all nodes together may make only so many a second. Nodes
-/// that each follow the logs make 2.5 calls a second each (65 nodes, measured), which 1,300 nodes
-/// could not. So one node of each data centre reads, and passes on what it has read. A node that
-/// does not hear it, or misses records, reads for itself.
+/// Every call to the store is billed and the rate of all nodes together is limited. Nodes that each
+/// follow the logs make 2.5 calls a second each (65 nodes, measured), which 1,300 nodes could not.
+/// So one node of each data centre, the reader, reads and forwards the records. A node that
+/// receives nothing from it, or misses records, reads for itself.
 #pragma once
 
 #include "pepperbay/base/clock.hpp"
@@ -17,7 +17,7 @@
 
 namespace pepperbay {
 
-/// The logs that nodes follow; the values stand in messages.
+/// The logs that nodes follow; the values are part of messages.
 enum class FollowedLog : std::size_t
 {
   kConfiguration = 0,
@@ -31,17 +31,17 @@
 class LogReads
 {
 public:
-  /// Records that a heartbeat of the reader names and that have not come after this are lost. A
+  /// Records that the reader's heartbeat names and that have not arrived after this are lost. A
   /// reader sends a large configuration to sixty nodes within some 150 ms.
   static constexpr std::chrono::milliseconds kFeedTimeout{ 250 };
 
-  /// Nobody reads for this node.
+  /// No other node reads for this one.
   void ReadAll() { mReads.fill(true); }
-  /// Somebody may; that will show in a moment.
+  /// Another node may read for this one; its heartbeats will show.
   void ReadNothing() { mReads.fill(false); }
-  /// Another node reads.
-  /// @param aReaderNext how far it has read, by its last heartbeat; empty: it did not say
-  /// @param aOwn how far this node has been told
+  /// Another node reads for this one.
+  /// @param aReaderNext the reader's next offsets by its last heartbeat; empty: not stated
+  /// @param aOwn this node's next offsets
   void RelyOn(const std::vector<std::uint64_t>& aReaderNext,
               const LogOffsets& aOwn,
               TimePoint aNow);
--- a/src/pepperbay/coordinator/node_tree.cpp
+++ b/src/pepperbay/coordinator/node_tree.cpp
@@ -25,7 +25,7 @@
 {
   struct Listed
   {
-    std::vector<std::pair<std::string, int>> mNodes; ///< names and processor
+    std::vector<std::pair<std::string, int>> mNodes; ///< names and CPU
     int mMaxCpuPermille = 0;
   };
   std::set<std::string> centres = { mOptions.mDataCentre };
@@ -48,7 +48,7 @@
   mOrders.clear();
   for (const auto& [key, scope] : scopes) {
     std::vector<std::string> able;
-    std::vector<std::string> weak; // better than nobody
+    std::vector<std::string> weak; // better than none
     for (const auto& [name, cpu] : scope.mNodes) {
       (2 * cpu >= scope.mMaxCpuPermille ? able : weak).push_back(name);
     }
@@ -74,7 +74,8 @@
   if (watched == mWatched.end()) {
     return Standing::kUnknown;
   }
-  // After a pause of this process everybody seems silent; they have to be heard anew first.
+  // After a pause of this process all nodes seem silent; each must be given time to be heard from
+  // again.
   const TimePoint since = std::max({ watched->second, peer->mLastHeard, mLastPauseEnd });
   return aNow - since < mOptions.mSilence ? Standing::kUnknown : Standing::kSilent;
 }
@@ -122,7 +123,7 @@
   mReader.clear();
   mCandidate = false;
   bool heard = false;
-  bool waits = false; // for the answer of one that may be able to read
+  bool waits = false; // for the answer of a node that may be able to read
   std::size_t seen = 0;
   for (const auto& it : mOrders[mScope]) {
     if (seen >= mOptions.mCandidates) {
@@ -132,7 +133,7 @@
       ++seen;
       mCandidate = true;
       if (!aOwn.mStoreLost && mReader.empty()) {
-        return; // none better can read
+        return; // no node that ranks higher can read
       }
       continue;
     }
@@ -151,8 +152,8 @@
     }
   }
   if (mReader.empty() && heard && !mCandidate) {
-    // Nobody can read, and the candidates go on trying: one call after the other from every node
-    // would be hundreds a second to a store that is down.
+    // No node can read, and the candidates keep trying. A call from every other node as well would
+    // be hundreds a second to a store that is down.
     mReader = mFollowed;
   }
 }
@@ -210,7 +211,8 @@
     Watch(aOwn.mHolder, aNow);
   }
   for (auto it = mWatched.begin(); it != mWatched.end();) {
-    // One that is silent stays marked until it is heard, or it would seem new at the next look.
+    // A silent node stays in the list until it is heard from, or it would seem new at the next
+    // choice.
     const bool wanted = mSelected.count(it->first) != 0;
     const bool silent = StandingOf(it->first, aPeers, aNow) == Standing::kSilent;
     it =
--- a/src/pepperbay/coordinator/peer_table.hpp
+++ b/src/pepperbay/coordinator/peer_table.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief The other nodes before the same pool: where they hear, what they said last. Pure.
+/// @brief The other nodes in front of the same pool: their addresses and last heartbeats. Pure.
 #pragma once
 
 #include "pepperbay/base/clock.hpp"
@@ -18,11 +18,11 @@
 struct KnownPeer
 {
   std::uint64_t mIncarnation = 0;
-  std::string mAddress;          ///< where it hears its peers
-  std::string mAllocatorAddress; ///< where its place desk hears others
-  std::string mTunnelAddress;    ///< where it carries connections to engines; empty: it does not
+  std::string mAddress;          ///< where it receives messages of peers
+  std::string mAllocatorAddress; ///< where its slot allocator receives messages
+  std::string mTunnelAddress;    ///< where it tunnels connections to engines; empty: it does not
   std::string mTunnelKey;
-  TimePoint mReportedUnreached{}; ///< another node has last said that it reaches no engine
+  TimePoint mReportedUnreached{}; ///< when another node last reported that it reaches no engine
   TimePoint mLastHeard{}; ///< receipt of its last heartbeat; the zero time when there was none
   /// Receipt of its last heartbeat that asked for an answer; the zero time when there was none.
   TimePoint mLastAnswerWanted{};
@@ -30,7 +30,7 @@
   std::string mDataCentre;
   /// Since when its heartbeats have named an older configuration than is in force here.
   std::optional<TimePoint> mBehindSince;
-  proto::Beat mBeat; ///< the last
+  proto::Beat mBeat; ///< its last heartbeat
 };
 
 class PeerTable
@@ -38,33 +38,33 @@
 public:
   PeerTable(std::string aSelf, Duration aSilence);
 
-  /// The store lists a node.
+  /// Handles a node's record in the store.
   void OnRecord(const proto::NodeRecord& aRecord);
   void OnGone(const std::string& aNode);
-  /// @param aNode whose heartbeat it is; IsCurrent() said that it counts
+  /// @param aNode the sender; precondition: IsCurrent() of the message
   void OnBeat(const std::string& aNode, const proto::Beat& aBeat, TimePoint aNow);
 
-  /// Note whether a peer's configuration is older than the one here. @return for how long it has
+  /// Records whether a peer's configuration is older than the one here. @return for how long it has
   /// been
   Duration NoteBehind(const std::string& aNode, bool aBehind, TimePoint aNow);
-  /// @return whether a message is of a known peer's present start
+  /// @return whether a message is from the current incarnation of a known peer
   bool IsCurrent(const proto::PeerMessage& aMessage) const;
 
   bool Alive(const KnownPeer& aPeer, TimePoint aNow) const;
   /// @return the peer; null when it is not listed.
   const KnownPeer* Find(const std::string& aNode) const;
-  /// @return whether a peer that is heard and does not stop has twice this much processor or more.
+  /// @return whether a live peer that is not stopping has at least twice this much CPU
   bool HasStronger(int aCpuPermille, TimePoint aNow) const;
-  /// Another node's heartbeat names nodes that reach no engine.
+  /// Handles another node's report of nodes that reach no engine.
   void OnUnreached(const std::set<std::uint32_t>& aShortIds, TimePoint aNow);
-  /// @return whether a peer reaches no engine, by its own word or another's of the last heartbeats.
+  /// @return whether a peer reaches no engine, by its own last heartbeats or by another node's.
   bool Unreached(const KnownPeer& aPeer, TimePoint aNow) const;
-  /// Peers that may carry connections to engines for this node.
+  /// Peers that this node may tunnel connections to engines through.
   ProxyPeers Proxies(TimePoint aNow) const;
-  /// Peers that want this node's heartbeats: they wrote lately.
+  /// Peers that recently asked for this node's heartbeats.
   std::vector<std::string> Correspondents(TimePoint aNow) const;
   const std::map<std::string, KnownPeer>& Peers() const { return mPeers; }
-  /// Grows whenever the list of nodes changes.
+  /// Increases whenever the list of nodes changes.
   std::uint64_t Revision() const { return mRevision; }
 
 private:
--- a/src/pepperbay/coordinator/plan_builder.cpp
+++ b/src/pepperbay/coordinator/plan_builder.cpp
@@ -7,7 +7,7 @@
 namespace pepperbay {
 namespace {
 
-/// The engines registered under one name and the newest epoch of it.
+/// The engines registered under one replica name, and its newest epoch.
 struct StandingGroup
 {
   std::uint64_t mEpoch = 0;
@@ -47,8 +47,8 @@
   return { aEngine.mId, aEngine.mAddress, aEngine.mDataCentre, aEngine.mBorn };
 }
 
-/// @return whether a member is known not to answer. That one is no longer listed says little: the
-/// holder asks it.
+/// @return whether a member is known to be lost. A member that is no longer registered is no
+/// evidence: the holder probes it.
 bool
 HasLost(const StandingGroup& aGroup, const std::function<bool(const std::string&)>& aLost)
 {
@@ -100,7 +100,7 @@
       continue;
     }
     if (BornMs(head->second->mBorn) > update.head_born_ms()) {
-      continue; // of before the head started again: it is in no replica now
+      continue; // from before the head restarted: it is in no replica now
     }
     PoolReplica target;
     target.mGroup = name;
@@ -159,7 +159,7 @@
     update.set_model(replica.mModel);
     update.set_head(ShortId(replica.mMembers.front()));
     update.set_head_born_ms(BornMs(aBornOf(replica.mMembers.front())));
-    // The head serves a while after it has accepted the order to open.
+    // The head starts to serve some time after it has accepted the order to open.
     update.set_open(replica.mPhase == ReplicaPhase::kOpen && !replica.mLeavingSince &&
                     aNow - replica.mSince >= aFormTime);
     update.set_lost(replica.mPhase == ReplicaPhase::kBroken || replica.mMemberLost);
--- a/src/pepperbay/coordinator/plan_builder.hpp
+++ b/src/pepperbay/coordinator/plan_builder.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief From what the control thread knows to what traffic threads may use. Pure.
+/// @brief Builds the traffic threads' plan from the control thread's state. Pure.
 #pragma once
 
 #include "peer_table.hpp"
@@ -19,19 +19,19 @@
   bool mComplete = false;
   std::shared_ptr<const RouteTable> mRoutes;
   const EngineMap* mEngines = nullptr;
-  /// What the holder of the lease says of replicas, by name.
+  /// The lease holder's updates of replicas, by name.
   const std::map<std::string, proto::ReplicaNews>* mUpdates = nullptr;
   std::function<bool(const std::string& aEngine)> mLost;
 };
 
-/// A replica takes requests only while its head is registered and says that it is open, no member
-/// is known to be lost, and the holder, who asks the members, does not say otherwise. The holder's
-/// word goes before older registrations.
+/// Builds a plan. A replica takes requests only while its head is registered and reports that it is
+/// open, no member is known to be lost, and the lease holder, which sends status requests to the
+/// members, does not say otherwise. The holder's updates take precedence over older registrations.
 std::shared_ptr<TrafficPlan>
 BuildPlan(const PlanSources& aSources);
 
-/// What the holder tells of its replicas.
-/// @param aBornOf the newest start of an engine
+/// The holder's updates of its replicas.
+/// @param aBornOf returns the start time of an engine's newest incarnation
 std::vector<proto::ReplicaNews>
 UpdatesOf(const std::map<std::string, PlannedReplica>& aReplicas,
           const std::function<WallTime(const std::string& aEngine)>& aBornOf,
--- a/src/pepperbay/coordinator/reachability_probes.hpp
+++ b/src/pepperbay/coordinator/reachability_probes.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Whether this node reaches engines at this moment. Pure but for its hooks.
+/// @brief Checks whether this node currently reaches engines. Pure but for its hooks.
 #pragma once
 
 #include "pepperbay/placement/group_order.hpp"
@@ -11,18 +11,19 @@
 
 struct ReachabilityProbesHooks
 {
-  /// An engine to ask that is well as far as is known, and another than this one; null: none.
+  /// Picks a healthy engine, as far as known, other than this one; null: none.
   std::function<const EngineRecord*(const EngineRecord& aNotThis)> mPick;
-  /// Ask it over a new connection: old ones may live on in a cut.
+  /// Sends a status request over a new connection: pooled ones may survive in a partition.
   std::function<void(const EngineRecord&, std::function<void(bool aAnswered)>)> mAsk;
 };
 
-/// What a node has no answer of may be gone, or the node may be cut. An answer of another engine
-/// tells, but only to a question that was put after the failure: an earlier one may have come from
-/// before the cut. Failures that come while an engine is being asked share the next question.
+/// When an engine does not answer, either the engine or this node's network may have failed. An
+/// answer of another engine decides, but only to a probe that was sent after the failure: an
+/// earlier one may have been answered before the partition. Failures that arrive while a probe is
+/// in flight share the next one.
 ///
 /// @code
-/// looks.Find(engine, [](bool aSees) { if (aSees) { /* the engine is gone, not this node */ } });
+/// probes.Find(engine, [](bool aReaches) { if (aReaches) { /* the engine itself failed */ } });
 /// @endcode
 class ReachabilityProbes
 {
@@ -31,8 +32,8 @@
 
   explicit ReachabilityProbes(ReachabilityProbesHooks aHooks);
 
-  /// @param aNotThis has just not answered
-  /// @param aDone called once, perhaps before this returns
+  /// @param aNotThis the engine that has just not answered
+  /// @param aDone called exactly once, possibly before this returns
   void Find(const EngineRecord& aNotThis, Done aDone);
 
 private:
@@ -45,7 +46,7 @@
   void AskNext();
 
   ReachabilityProbesHooks mHooks;
-  std::vector<Waiting> mWaiting; ///< for the next question
+  std::vector<Waiting> mWaiting; ///< for the next probe
   bool mAsking = false;
 };
 
--- a/src/pepperbay/coordinator/round_pace.hpp
+++ b/src/pepperbay/coordinator/round_pace.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief When work that is done in rounds may be done again, by what a round takes. Pure.
+/// @brief Paces work that is done in rounds by the duration of the rounds. Pure.
 #pragma once
 
 #include "pepperbay/base/clock.hpp"
@@ -10,14 +10,14 @@
 
 struct RoundPaceOptions
 {
-  /// Part of the time that rounds may take; the rest is for what they wait for.
+  /// Share of the time that rounds may take; the rest is for the answers that they wait for.
   double mMaxShare = 0.25;
-  /// The next round begins after this at the latest, whatever the last one took.
+  /// Upper limit of the pause, whatever the last round took.
   Duration mMaxPause = std::chrono::milliseconds(200);
 };
 
-/// Spaces rounds whose cost grows with the fleet. Done as often as ever they would leave no time
-/// for the answers that they wait for, and each round would find little that is new.
+/// Spaces rounds whose cost grows with the fleet. Without pauses they would leave no time for the
+/// answers that they wait for, and each round would find little new.
 ///
 /// @code
 /// if (pace.IsDue(now())) { const TimePoint begun = now(); plan(); pace.OnRound(begun, now()); }
--- a/src/pepperbay/coordinator/update_tracker.cpp
+++ b/src/pepperbay/coordinator/update_tracker.cpp
@@ -7,7 +7,8 @@
 namespace pepperbay {
 namespace {
 
-/// Removals kept for those who missed them; a node that is further behind is told everything.
+/// Removals kept for nodes that have missed them; a node that is further behind gets the complete
+/// state.
 constexpr std::size_t kMaxRemovals = 256;
 /// Changes in one message: at some 80 bytes each well within one datagram.
 constexpr std::size_t kMaxInMessage = 400;
@@ -107,7 +108,7 @@
 UpdateTracker::OnNewest(const proto::Beat& aBeat, TimePoint aNow)
 {
   if (aBeat.news_fence() == mFence && aBeat.news_change() == mChange) {
-    // Who has the same knows how long ago the holder stood by it.
+    // A node with the same state knows how long ago the holder confirmed it.
     mAsOf = std::max(mAsOf, aNow - FromNs(aBeat.news_age_ns()));
   }
   return aBeat.news_fence() > mFence ||
--- a/src/pepperbay/coordinator/update_tracker.hpp
+++ b/src/pepperbay/coordinator/update_tracker.hpp
@@ -1,9 +1,10 @@
 /// @file
-/// @brief The holder's word on each replica, as numbered changes that any node can pass on. Pure.
+/// @brief The lease holder's state of each replica, as numbered changes that any node can forward.
+/// Pure.
 ///
-/// Told whole at every heartbeat, the news of 140 replicas were 6 kB to each of 295 nodes five
-/// times a second. As changes they are some tens of bytes when something happens, and a number in
-/// each heartbeat shows who has missed one.
+/// Sent in full with every heartbeat, the states of 140 replicas were 6 kB to each of 295 nodes
+/// five times a second. Changes take some tens of bytes when something happens, and a number in
+/// each heartbeat shows which node has missed one.
 #pragma once
 
 #include "pepperbay/base/clock.hpp"
@@ -17,42 +18,46 @@
 
 namespace pepperbay {
 
-/// @return whether two words of one replica say the same.
+/// @return whether two updates of one replica state the same.
 bool
 IsSameState(const proto::ReplicaNews& aLeft, const proto::ReplicaNews& aRight);
 
-/// Of one tenure of the lease at a time. The holder writes, all others take what they are told.
+/// Tracks one term of the lease at a time. The holder writes; all other nodes apply what they
+/// receive.
 class UpdateTracker
 {
 public:
-  /// This node's tenure begins: nothing is known yet.
+  /// Starts this node's term: nothing is known yet.
   void Begin(std::uint64_t aFence, TimePoint aNow);
-  /// The holder stands by all of it.
+  /// Records that the holder confirmed the present state of all replicas.
   void Confirm(TimePoint aNow) { mAsOf = aNow; }
-  /// @return whether this says anything new of the replica; it is then numbered.
+  /// Records an update. @return whether it changes the replica's state; the update then gets a
+  /// number
   bool Put(proto::ReplicaNews aUpdate);
-  /// Keep only the replicas for which `aIsKept` is true.
+  /// Removes the replicas for which `aIsKept` is false.
   void KeepOnly(const std::function<bool(const std::string& aGroup)>& aIsKept);
 
   enum class ApplyOutcome
   {
-    kStale, ///< old
+    kStale, ///< already known
     kApplied,
-    kGap, ///< changes before these have not come
+    kGap, ///< changes before these have not arrived
   };
-  /// Changes that another node passes on.
+  /// Applies changes that another node forwards.
   ApplyOutcome ApplyChanges(const proto::NewsChanges& aChanges, TimePoint aNow);
-  /// Another node's heartbeat names what it has. @return whether that is more than is known here
+  /// Handles the number in another node's heartbeat. @return whether that node has changes that are
+  /// unknown here
   bool OnNewest(const proto::Beat& aBeat, TimePoint aNow);
 
-  /// @return what has changed since, bounded for one message; all when that much is not kept.
+  /// @return the changes after `aChange`, bounded for one message; the complete state when older
+  /// removals have been dropped.
   proto::NewsChanges Since(std::uint64_t aFence, std::uint64_t aChange, TimePoint aNow) const;
 
   std::uint64_t Fence() const { return mFence; }
   std::uint64_t Change() const { return mChange; }
-  /// When the holder stood by this for certain, by this node's clock.
+  /// When the holder certainly confirmed this state, by this node's clock.
   TimePoint AsOf() const { return mAsOf; }
-  /// By name; without those that are gone.
+  /// By name; without removed replicas.
   const std::map<std::string, proto::ReplicaNews>& Replicas() const { return mReplicas; }
 
 private:
@@ -62,8 +67,8 @@
   std::uint64_t mChange = 0;
   TimePoint mAsOf{};
   std::map<std::string, proto::ReplicaNews> mReplicas;
-  std::deque<proto::ReplicaNews> mRemovals; ///< the last that went, in order
-  std::uint64_t mDroppedUpTo = 0;           ///< older removals are not kept
+  std::deque<proto::ReplicaNews> mRemovals; ///< the last removals, in order
+  std::uint64_t mDroppedUpTo = 0;           ///< older removals have been dropped
 };
 
 } // namespace pepperbay
