--- a/src/pepperbay/coordinator/coordinator.cpp
+++ b/src/pepperbay/coordinator/coordinator.cpp
@@ -9,18 +9,19 @@
 namespace pepperbay {
 namespace {
 
-/// Counts of requests that other desks have found places for come with their heartbeats; half of
-/// that. Nodes that find no places for others need only the time up to which keys are trusted,
-/// which moves by seconds.
+/// Interval of plans without other changes. Counts of requests that other allocators have assigned
+/// slots to arrive with their heartbeats; this is half of that interval. Nodes that allocate no
+/// slots for others need only the time up to which keys are trusted, which advances by seconds.
 constexpr std::chrono::milliseconds kPublishEvery{ 100 };
 constexpr std::chrono::milliseconds kFollowerPublishEvery{ 400 };
-/// The replicas are put together at most this often: it takes half a millisecond before 875
-/// engines, and while a pool forms there is something new at every round.
+/// Shortest time between two builds of the replicas: one takes half a millisecond in front of 875
+/// engines, and while a pool forms every round changes something.
 constexpr std::chrono::milliseconds kBuildEvery{ 40 };
-/// Most that a challenger's wait is lengthened, so that not all claim a free lease at once.
+/// Upper limit of the random addition to a challenger's wait, so that not all claim a free lease at
+/// once.
 constexpr std::chrono::milliseconds kMaxStagger{ 120 };
-/// News of a holder that has been silent for this long is not used: the holder may be gone and the
-/// registrations have moved on.
+/// Updates of a holder that has been silent for this long are not used: the holder may be gone and
+/// newer registrations may differ.
 constexpr std::chrono::seconds kUpdateLifetime{ 3 };
 
 Duration
@@ -30,11 +31,11 @@
          static_cast<int>(kMaxStagger.count());
 }
 
-/// @param aBetween pause between two reads that the owner of the follower keeps
+/// @param aBetween pause between two reads that the caller adds
 KeyedFollowerOptions
 LongPollOptions(Duration aWait, Duration aPause, Duration aBetween = Duration::zero())
 {
-  /// A store that is slow still answers within this.
+  /// A slow store still answers within this.
   constexpr std::chrono::milliseconds kSlowStoreMargin{ 300 };
   KeyedFollowerOptions options;
   options.mWait = aWait;
@@ -66,7 +67,7 @@
   return options;
 }
 
-/// Nodes let a request that is held back for a moment through one after the other.
+/// Nodes let a briefly quarantined request through one after the other.
 constexpr std::chrono::milliseconds kMaxQuarantineSpread{ 2000 };
 
 QuarantineManagerOptions
@@ -218,12 +219,12 @@
   ++mCounters.mStoreRestored;
   switch (aLog) {
     case FollowedLog::kConfiguration:
-      return; // a life of this process never goes back to an older version
+      return; // a running process never returns to an older version
     case FollowedLog::kEngines:
       mDirectory.OnStoreRestored(Now());
       return;
     case FollowedLog::kNodes:
-      mRecordWritten = false; // it may be gone, and nodes that start would not find this one
+      mRecordWritten = false; // it may be gone, and nodes that start would not learn of this one
       return;
   }
 }
@@ -240,7 +241,7 @@
     mHooks.mLog("configuration_refused", { { "error", ToString(configuration.error()) } });
     return;
   }
-  // One life of a process never goes back: an older version may come from a read that is behind.
+  // A running process never returns to an older version, which may come from an outdated read.
   if (mRoutes && configuration.value().mVersion <= mRoutes->Version()) {
     return;
   }
@@ -266,8 +267,8 @@
   FollowLogs();
   const bool candidate = mTree.IsCandidate() && mNodeFollower.HasList();
   if (!mStopping && (candidate || mLease.LastIsMine())) {
-    // All nodes at once at a lease that has ended would be as many calls to the store, and again
-    // every few hundred milliseconds while it is down.
+    // If all nodes claimed an expired lease at once, that would be as many calls to the store,
+    // repeated every few hundred milliseconds while it is down.
     PreferStronger();
     mLease.Tick();
   }
@@ -290,7 +291,8 @@
 {
   const TimePoint now = Now();
   const bool weaker = mPeers.HasStronger(mOptions.mCpuPermille, now);
-  // Orders go through peers as well, only later; one that holds the lease keeps it.
+  // A node without a direct path can send orders through peers, only slower, so it keeps a lease
+  // that it holds.
   const bool waits = weaker || (IsUnreached() && HasReachingPeer());
   mLease.SetStagger(StaggerOf(mOptions) + (waits ? mOptions.mWeakerNodeDelay : Duration::zero()));
   if (weaker && mLease.Held() && now >= mYieldDue) {
--- a/src/pepperbay/coordinator/coordinator_bounds.cpp
+++ b/src/pepperbay/coordinator/coordinator_bounds.cpp
@@ -5,13 +5,13 @@
 namespace pepperbay {
 namespace {
 
-/// From the check of a key to the engine, and the second in which a store that drops its history
-/// may tell held reads nothing.
+/// Time from the check of a key until the request is at the engine, and the second in which a store
+/// that drops its history may leave long polls unanswered.
 constexpr std::chrono::milliseconds kRevokeMargin{ 1200 };
-/// What is known through a reader that is well is up to this old; nodes that looked sooner would
-/// all read the store all the time.
+/// The age that information reaches through a working reader; with a lower threshold all nodes
+/// would read the store all the time.
 constexpr Duration kMinDirectReadAfter = std::chrono::milliseconds(1100);
-/// All nodes ask so often in an outage of the store.
+/// All nodes read this often during an outage of the store.
 constexpr Duration kMinDirectReadPause = std::chrono::milliseconds(400);
 constexpr double kDirectReadFraction = 0.6;
 constexpr double kEnginesDirectReadFraction = 0.8;
--- a/src/pepperbay/coordinator/coordinator_dump.cpp
+++ b/src/pepperbay/coordinator/coordinator_dump.cpp
@@ -46,7 +46,9 @@
     peers.push_back(
       { { "node", name },
         { "address", it.mAddress },
-        { "alive", mPeers.Alive(it, Now()) }, // heard; most nodes hear their delegates only
+        { "alive",
+          mPeers.Alive(it,
+                       Now()) }, // heard from recently; most nodes hear from their delegates only
         { "relies_on_this", it.mBeat.follows() },
         { "configuration", it.mBeat.config_version() } });
   }
--- a/src/pepperbay/coordinator/coordinator_impl.hpp
+++ b/src/pepperbay/coordinator/coordinator_impl.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief The state of a coordinator; its parts are in files by what they do.
+/// @brief The state of a coordinator; its member functions are in files by topic.
 #pragma once
 
 #include "direct_read_backoff.hpp"
@@ -18,17 +18,17 @@
 
 namespace pepperbay {
 
-/// @return the name of a log in lines and dumps.
+/// @return the name of a log in log lines and dumps.
 const char*
 NameOf(FollowedLog aLog);
 
 /// Why a node makes a call to one of the store's logs that it follows.
 enum class StoreCallReason
 {
-  kReader, ///< it reads for others, or nobody reads for it
+  kReader, ///< it reads for others, or no other node reads for it
   kHolder, ///< it holds the lease and needs registrations at once
-  kMissed, ///< records that its reader has told of have not come
-  kStale,  ///< what it is told is too old, or the store has to show that it is back
+  kMissed, ///< records that its reader has announced have not arrived
+  kStale,  ///< forwarded records are too old, or the call probes whether the store is back
   kList,   ///< a page of the list
 };
 
@@ -46,7 +46,7 @@
   void OnEngineList(const std::vector<KeyedRecord>& aRecords);
   void TakeEngine(EngineRecord aEngine);
   void OnReport(const EngineRecord& aEngine, const EngineReport& aReport);
-  /// A log has come back from an older copy; its list is read again.
+  /// Handles a log that was restored from an older copy; its list is read again.
   void OnStoreRestored(FollowedLog aLog);
   void OnNode(const KeyedRecord& aRecord);
   void OnNodeList(const std::vector<KeyedRecord>& aRecords);
@@ -54,60 +54,60 @@
   void OnMessage(const std::string& aBytes);
   void OnBeat(const proto::PeerMessage& aMessage);
   void SendBeat();
-  /// What is the same for all who get this heartbeat.
+  /// Builds the part of a heartbeat that is the same for all recipients.
   proto::Beat MakeBeat();
   void AddLoads(proto::Beat* aBeat);
   /// @return the limits of engines whose requests this node counts.
   EngineLimits CountedLimits();
-  /// Data centres whose engines with a limit this node should count requests for.
+  /// @return data centres with rate-limited engines whose requests this node should count.
   std::vector<std::string> WantedRateLeases();
-  /// Ask for the right to count, where this node needs it.
+  /// Requests the rate leases that this node needs.
   void AskRateLeases(proto::Beat* aBeat);
-  /// As the holder of the lease, answer who asks.
+  /// As the lease holder, answers requests for rate leases.
   void OnRateLeasesAsked(const proto::PeerMessage& aMessage);
   void OnRateLeases(const proto::RateLeases& aGranted);
-  /// The holder of the lease needs no message to itself.
+  /// Grants the lease holder its own rate leases, without a message.
   void GrantOwnRateLeases();
-  /// The holder of the lease keeps the budget of second attempts.
+  /// Renews the retry lease, which the lease holder grants to itself.
   void RenewRetryLease();
-  /// @return who keeps it, as far as this node knows.
+  /// @return the owner of the retry budget, as far as this node knows.
   RetryKeeperPlan FindRetryBudgetOwner();
-  /// @return limits that nodes tell who count the requests of other data centres' engines.
+  /// @return limits reported by the nodes that count the requests to other data centres' engines.
   EngineLimits OthersLimits() const;
-  /// @return these, and those that this node has been told itself.
+  /// @return these, and the limits that engines have reported to this node.
   EngineLimits AllLimits() const;
-  /// @return whether a node needs to know how many requests this one has found places for.
+  /// @return whether a node needs the counts of requests that this one has assigned slots to.
   bool WantsLoads(const std::string& aNode) const;
-  /// A message that names this node, without a body.
+  /// @return a message that names this node, without a body.
   proto::PeerMessage NewMessage() const;
   void SendTo(const std::string& aNode, const std::string& aBytes);
   /// Nodes that this one exchanges heartbeats with, by its own choice or theirs.
   std::set<std::string> Neighbours() const;
   void SendToNeighbours(const proto::PeerMessage& aMessage);
-  /// Nodes that rely on this one, itself included where it does.
+  /// Number of nodes that follow this one, including itself if it does.
   int Followers() const;
-  /// Nodes before this pool, as far as known; more rather than fewer.
+  /// Live nodes in front of this pool, as far as known; rather too many than too few.
   int LiveNodes() const;
-  /// Tell the holder of the lease what this node's streams and requests show of heads.
+  /// Reports to the lease holder what this node's streams and requests show of heads.
   void NotifyHolder(const proto::Suspicions& aSuspicions);
   void OnSuspicions(const proto::Suspicions& aSuspicions);
-  /// Ask a node for the news of replicas that are missing here.
+  /// Requests replica updates that are missing here from a node.
   void RequestUpdates(const std::string& aNode);
   void AnswerUpdateRequest(const proto::PeerMessage& aMessage);
-  /// Take news of the holder and pass them on to the nodes that rely on this one.
+  /// Applies updates of the lease holder and forwards them to the nodes that rely on this one.
   void OnUpdates(const proto::PeerMessage& aMessage);
-  /// The holder's own changes, to the delegates.
+  /// As the lease holder, sends its new updates to the delegates.
   void SendUpdates();
-  /// @return when the configuration was the newest, by the store or by a peer.
+  /// @return when the configuration here was the newest, according to the store or a peer.
   TimePoint ConfigurationAsOf() const;
-  /// @return when all that was in a log was known, by the store or by a peer.
+  /// @return when all records of a log were known here, according to the store or a peer.
   TimePoint LogAsOf(FollowedLog aLog);
   LogOffsets OwnOffsets() const;
   std::uint64_t ConfigurationVersion() const { return mRoutes ? mRoutes->Version() : 0; }
-  /// @return whether peers are asked: another reads, or the store has been silent for longer than a
-  /// held read takes.
+  /// @return whether to ask peers for freshness: another node reads, or the store has been silent
+  /// for longer than a long poll takes.
   bool AsksFreshness() const;
-  /// Give a peer that asks and has an older configuration the one in force here.
+  /// Sends a peer that asks and has an older configuration the one in force here.
   void ForwardConfiguration(const std::string& aAsker, const proto::Beat& aBeat);
   /// The directory's engines by the lower half of the hash of their ids.
   const std::unordered_map<std::uint32_t, std::string>& ShortIds();
@@ -115,90 +115,91 @@
   std::string EngineOf(std::uint32_t aShortId);
   void OnSuspect(const std::string& aHead, Duration aSilence);
   void OnRefused(const std::string& aHead);
-  /// A node's streams at a head stand still.
-  /// @param aSince when nothing has come of it
+  /// Handles a report that a node's streams at a head have stalled.
+  /// @param aSince time of the last event of the streams
   void OnSilentHead(const std::string& aHead, TimePoint aSince);
   void AskMembers(const std::string& aHead, std::optional<TimePoint> aSilentSince);
   /// @return a registered engine, or a member of a replica whose registration has lapsed.
   const EngineRecord* FindEngine(const std::string& aEngine) const;
   void OnEngineChange(const EngineRecord& aEngine, const EngineVerdict& aVerdict);
   void LogVerdict(const EngineRecord& aEngine, const EngineVerdict& aVerdict);
-  // Ways to engines; see coordinator_reach.cpp.
+  // Paths to engines; see coordinator_reach.cpp.
   EngineSuspicionsHooks SuspicionsHooks();
   void SetReach(bool aReaches);
   /// @return whether this node's own connections are known not to reach the engines.
   bool IsUnreached() const { return mTrafficUnreached || mPaths.Avoids(); }
-  /// @return whether a peer is heard that reaches engines.
+  /// @return whether a live peer reaches engines.
   bool HasReachingPeer() const;
-  /// How a call goes to an engine.
+  /// @return the options of a call to an engine: directly or through a peer.
   EngineCallOptions CallOptions(const std::string& aEngine,
                                 const std::string& aDataCentre,
                                 Duration aTimeout);
   ReachabilityProbesHooks ReachabilityHooks();
-  /// @return an engine that is well as far as is known, of another domain where there is one; null
-  /// for none.
+  /// @return an engine that is healthy as far as is known, of another domain if possible; null:
+  /// none.
   const EngineRecord* PickProbeTarget(const EngineRecord& aNotThis);
-  /// Try whether own connections reach engines again.
+  /// Probes whether direct connections reach engines again.
   void ProbePaths();
-  /// Ask an engine directly, only to see whether this node reaches it.
+  /// Sends a direct status request, only to check whether this node reaches the engine.
   void ProbeReachability(const EngineRecord& aEngine, std::function<void(bool aAnswered)> aDone);
-  /// Note what a question through a peer says of the peer.
+  /// Records whether a call through a peer worked.
   void NoteProxy(const EngineCallOptions& aOptions, bool aAnswered);
-  /// Put the peers together that may be asked, where anything has changed.
+  /// Updates the peers that may be used for tunnels, if anything has changed.
   void UpdateProxies();
   void NoteUnreached(const proto::Beat& aBeat);
-  /// Tell nodes that do not hear them which others reach no engine.
+  /// Adds the nodes that reach no engine, for recipients without contact to these.
   void AddUnreached(bool aToFollower, proto::Beat* aBeat);
   void PlanPools();
   void PlanPool(const ServiceSpec& aService);
   void LogComposition(const std::vector<CompositionChange>& aChanges);
-  /// Requests of all nodes at the head that the last holder named for a group; see GroupView.
+  /// @return requests of all nodes in flight at the head that the former holder named; see
+  /// GroupView.
   int InFlightAtFormerHead(const std::string& aGroup, std::uint64_t aEpoch) const;
   void SendOrder(const GroupOrder& aOrder, const std::string& aService);
-  /// Note for the other nodes what has changed of one pool's replicas.
+  /// Records changes of one pool's replicas as updates for the other nodes.
   void RecordUpdates(const GroupPlanner& aPlanner, Duration aFormTime);
-  /// Drop what is known of replicas that no pool has any more.
+  /// Drops replicas that no pool has any more.
   void DropRemovedReplicas();
   void QueryPlannedEngines(const GroupPlanner& aPlanner);
   void Publish();
-  /// Make what traffic knows of suspect requests anew where the book has changed.
+  /// Rebuilds the suspect requests of the plan if the tracker has changed.
   void PublishSuspects();
-  /// @return how many requests are held back now.
+  /// @return how many requests are quarantined now.
   std::uint64_t QuarantinedRequests() const;
-  /// The parts of a plan that change without the replicas.
+  /// Fills the parts of a plan that change independently of the replicas.
   void FillPlan(TrafficPlan* aPlan);
   bool MayOrder() const;
-  /// Leave the lease to nodes that have the processor for it.
+  /// Leaves the lease to nodes with more CPU or with a direct path to engines.
   void PreferStronger();
   bool IsReady() const;
   /// @return whether configuration and registrations have both been read once.
   bool HasFullState() const { return mRoutes && mEngineFollower.HasList(); }
   std::unordered_map<std::string, int> OthersInFlight() const;
-  /// Log who reads the store for this node when that changes.
+  /// Logs which node reads the store for this one, on a change.
   void LogReader();
-  /// Follow the logs: from the store, or by what the delegate passes on.
+  /// Follows the logs: by reads of the store, or by records that another node forwards.
   void FollowLogs();
   /// @return whether no other node reads the store for this one.
   bool ReadsForItself() const;
   void NoteStore();
-  /// @return whether to read a log now though another node reads it for this one: what is known by
-  /// that node is too old, or the store has to show that it answers again.
+  /// @return whether to read a log directly although another node reads it for this one: the
+  /// forwarded records are too old, or the call probes whether the store is back.
   bool ReadsConfigurationDirectly();
   bool ReadsEnginesDirectly();
   void LogDirectRead(FollowedLog aLog, Duration aAge);
-  /// Make the call to a log that is due there, if it may be made.
+  /// Makes the call to a log that is due, if it may be made.
   void Ask(FollowedLog aLog, StoreCallReason aReason);
   StoreCallReason ReasonToRead() const;
-  /// The hooks of the lease's log, with their calls counted.
+  /// @return the hooks of the lease's log, with their calls counted.
   LogLeaseHooks CountedLease();
   /// @return whether calls to the store's logs have failed for a while.
   bool StoreLost() const;
-  /// Nodes that go by what this one passes on.
+  /// Nodes that rely on the records that this one forwards.
   std::vector<std::string> Dependants() const;
   KeyedFollower& FollowerOf(FollowedLog aLog);
-  /// Pass on what was read for other nodes.
+  /// Forwards records to nodes that rely on this one.
   void ForwardRecords(FollowedLog aLog, std::uint64_t aFrom, const KeyedTail& aTail);
-  /// One message of what was read; one that fits into no datagram is left out.
+  /// Sends one message of records; one that does not fit into a datagram is left out.
   void SendFeed(const proto::PeerMessage& aMessage);
   void ApplyFeed(const proto::LogFeed& aFeed);
   KeyedFollowerEvents Events(FollowedLog aLog,
@@ -214,14 +215,14 @@
   KeyedFollower mNodeFollower;
   LogLease mLease;
   EngineDirectory mDirectory;
-  /// Keys of registrations that name no engine, with the reason that was logged; an entry that is
-  /// written again and again gives one line.
+  /// Keys of registrations that could not be decoded, with the logged reason; a key that is
+  /// rewritten again and again is logged once per reason.
   std::map<std::string, std::string> mRefusedEntries;
   EngineCalls mCalls;
-  WayBook mPaths; ///< of orders and questions
+  WayBook mPaths; ///< of orders and status requests
   ProxyChoice mProxies;
   std::shared_ptr<const ProxyPeers> mProxyPeers;
-  std::size_t mProxiesOf = 0;     ///< what they were put together from
+  std::size_t mProxiesOf = 0;     ///< hash of the inputs that mProxyPeers was built from
   bool mTrafficUnreached = false; ///< connections for requests do not reach the engines
   bool mReportedUnreached = false;
   ReachabilityProbes mReachabilityProbes;
@@ -233,40 +234,42 @@
   NodeTree mTree;
   LogReads mReads;
   std::optional<TimePoint> mStoreLostSince;
-  bool mReportedStoreLost = false; ///< what the last heartbeats said
-  std::string mLoggedReader;       ///< the last that was logged
+  bool mReportedStoreLost = false; ///< as reported in the last heartbeats
+  std::string mLoggedReader;       ///< the last reader that was logged
   DirectReadBackoff mConfigurationBackoff;
   DirectReadBackoff mEnginesBackoff;
   std::shared_ptr<const RouteTable> mRoutes;
-  std::string mConfiguration;      ///< that mRoutes was made from, as the operator wrote it
-  TimePoint mConfigurationTaken{}; ///< when this node took it in
+  std::string mConfiguration; ///< the text that mRoutes was built from, as the operator wrote it
+  TimePoint mConfigurationTaken{};               ///< when this node received it
   std::map<std::string, GroupPlanner> mPlanners; ///< by service
   RoundPace mPlanPace;
   UpdateTracker mUpdates;
-  /// What the last holder told of its replicas, until this one has planned once: its first round
-  /// finds most of them as they were, and logs only what differs.
+  /// The former holder's updates, until this one has planned once: its first round finds most
+  /// replicas unchanged, and logs only differences.
   std::map<std::string, proto::ReplicaNews> mFormerUpdates;
-  /// The same, for the whole tenure: heads that are listed no more are named here only.
+  /// The same, for the whole term: only these name heads that are no longer registered.
   std::map<std::string, proto::ReplicaNews> mFormerHeads;
-  std::uint64_t mLastSentChange = 0; ///< the last change that was sent out
+  std::uint64_t mLastSentChange = 0; ///< the last change that was sent
   TimePoint mUpdateRequestDue{};
   std::unordered_map<std::string, int> mInFlight;
-  EngineLimits mLimits; ///< as this node has been told
+  EngineLimits mLimits; ///< as reported to this node
   RateLeaseTable mGrantedRateLeases;
   HeldRateLeases mRateLeases;
-  RateLeaseTable mGrantedRetryLeases; ///< to this node itself, while it holds the lease
+  RateLeaseTable mGrantedRetryLeases; ///< granted to this node itself, while it holds the lease
   HeldRateLeases mRetryLeases;
   std::map<std::string, proto::RateLeases> mRateLeaseAnswers; ///< to be sent, by node
-  std::map<std::string, TimePoint> mSilentHeads; ///< heads whose streams stand still, as last told
-  std::map<std::string, TimePoint> mHeadsAsked;  ///< heads whose members were just asked
+  std::map<std::string, TimePoint>
+    mSilentHeads; ///< heads whose streams have stalled, when last reported
+  std::map<std::string, TimePoint> mHeadsAsked; ///< heads whose members were just probed
   std::unordered_map<std::uint32_t, std::string> mShortIds; ///< of the directory's engines
-  std::uint64_t mShortIdsOf = 0;                            ///< revision that they are of
+  std::uint64_t mShortIdsOf = 0; ///< revision of the directory that they were built from
   std::uint64_t mPlannedFence = 0;
   std::uint64_t mPublishedRevision = 0;
-  std::uint64_t mPublishedSuspects = 0;   ///< revision of the book that the plan goes by
-  std::uint64_t mPublishedQuarantine = 0; ///< the same for what is held back, which is told at once
-  std::shared_ptr<const SuspectRequests> mSuspectRequests; ///< as the plan has them
-  std::shared_ptr<const TrafficPlan> mPlan;                ///< the last that was published
+  std::uint64_t mPublishedSuspects = 0; ///< revision of the tracker that the plan was built from
+  std::uint64_t mPublishedQuarantine =
+    0; ///< the same for quarantined requests, which are published at once
+  std::shared_ptr<const SuspectRequests> mSuspectRequests; ///< as in the plan
+  std::shared_ptr<const TrafficPlan> mPlan;                ///< the last published plan
   bool mChanged = true;
   bool mTraffic = false;
   bool mStopping = false;
@@ -275,7 +278,7 @@
   TimePoint mBeatDue{};
   TimePoint mYieldDue{};
   TimePoint mPublishDue{};
-  TimePoint mLastBuild{}; ///< when the replicas were last put together
+  TimePoint mLastBuild{}; ///< when the replicas were last built
   TimePoint mEngineReadDue{};
 };
 
--- a/src/pepperbay/coordinator/coordinator_logs.cpp
+++ b/src/pepperbay/coordinator/coordinator_logs.cpp
@@ -4,14 +4,15 @@
 
 namespace pepperbay {
 namespace {
-/// Records travel in datagrams of so many bytes; one that is longer by itself, the others read
-/// themselves.
+/// Records are forwarded in datagrams up to this size; a longer record is left out, and other nodes
+/// read it themselves.
 constexpr std::size_t kMaxFeedBytes = 60000;
 constexpr std::size_t kMaxDatagramBytes = 65000;
-/// Of a record in a message, beside its key and its value.
+/// Overhead of a record in a message besides its key and value.
 constexpr std::size_t kFedRecordOverhead = 16;
-/// The store counts as lost once calls have failed for so long. One lost answer is made good by the
-/// next call, and a reader that gives up for it would move all that rely on it.
+/// The store counts as lost once calls have failed for this long. A lost answer is compensated by
+/// the next call, and a reader that gives up because of one would make all nodes that rely on it
+/// choose another.
 constexpr std::chrono::milliseconds kStoreLostAfter{ 300 };
 }
 
@@ -56,8 +57,8 @@
 void
 Coordinator::Impl::NoteStore()
 {
-  // A call that is late counts like one that failed: a connection that is cut gives no answer for
-  // as long as a call may last, and until then nobody else would read.
+  // An overdue call counts as a failed one: a connection that is cut gives no answer for as long as
+  // a call may last, and until then no other node would read.
   const bool late = mConfigFollower.Overdue() || mEngineFollower.Overdue();
   const bool lost = late || mConfigFollower.Lost() || mEngineFollower.Lost();
   if (!lost) {
@@ -67,7 +68,7 @@
   }
   if (StoreLost() != mReportedStoreLost) {
     mReportedStoreLost = StoreLost();
-    mBeatDue = Now(); // the others choose another reader
+    mBeatDue = Now(); // the others then choose another reader
   }
 }
 
@@ -77,7 +78,7 @@
   const TimePoint now = Now();
   const Duration age = now - ConfigurationAsOf();
   const bool old = age >= mOptions.mBounds.mDirectReadAfter;
-  // A node that the store has not answered makes no other call that could show that it does again.
+  // A node that the store has not answered makes no other call that could show that it is back.
   if (!old && !StoreLost()) {
     mConfigurationBackoff.Reset();
     return false;
@@ -105,7 +106,7 @@
     mEnginesBackoff.Reset();
     return false;
   }
-  // In an outage of the store one call shows as well as two that it answers again.
+  // In an outage of the store one probe call shows as well as two that it is back.
   const bool storeLost = mConfigFollower.Lost() || mConfigFollower.Overdue();
   const bool reads = mLease.LastIsMine() || mReads.Reads(FollowedLog::kEngines);
   const Duration bound = old ? mOptions.mBounds.mMaxDirectReadPause : mOptions.mMaxOutageProbePause;
@@ -159,9 +160,9 @@
     const auto& next = reader->mBeat.log_next();
     mReads.RelyOn({ next.begin(), next.end() }, OwnOffsets(), now);
   }
-  // The reader may be cut from the store and not know it yet, and so may the next ones; nodes that
-  // waited for each in turn would go by an older configuration, or send to engines that have left,
-  // for seconds.
+  // The reader may be cut off from the store without knowing it yet, and so may the next ones.
+  // Nodes that waited for each in turn would use an outdated configuration, or send to engines that
+  // have left, for seconds.
   if (ReadsConfigurationDirectly()) {
     Ask(FollowedLog::kConfiguration, StoreCallReason::kStale);
   } else if (mReads.Reads(FollowedLog::kConfiguration)) {
@@ -203,7 +204,7 @@
   if (!follower.MayAsk()) {
     return;
   }
-  // A list is read first, whatever else the call is for.
+  // A list is read first, whatever the call was meant for.
   const StoreCallReason reason = follower.NeedsList() ? StoreCallReason::kList : aReason;
   ++mCounters.mStoreCalls[std::string(NameOf(aLog)) + "_" + NameOf(reason)];
   follower.Tick();
@@ -227,7 +228,7 @@
   if (!ReadsForItself()) {
     return;
   }
-  // Offsets of single records are known only where each has one: none was left out in reading.
+  // Offsets of single records are known only if the read left none out.
   const bool splits = aTail.mNext - aFrom == aTail.mRecords.size();
   proto::PeerMessage message = NewMessage();
   auto* feed = message.mutable_feed();
--- a/src/pepperbay/coordinator/coordinator_peers.cpp
+++ b/src/pepperbay/coordinator/coordinator_peers.cpp
@@ -6,14 +6,14 @@
 
 namespace pepperbay {
 namespace {
-/// A configuration travels in one datagram, which holds 65,507 bytes with its headers.
+/// A configuration is sent in one datagram, which holds 65,507 bytes with its headers.
 constexpr std::size_t kMaxForwardedBytes = 60000;
-/// A node that has an older configuration gets it passed on once the feed of its delegate has had
-/// time to come, a heartbeat and a round; from others that it asks only after a few heartbeats
-/// more.
+/// A node with an older configuration is sent the newer one once the records that its delegate
+/// forwards have had time to arrive, a heartbeat and a round; nodes that it asks but does not
+/// follow wait a few heartbeats more.
 constexpr std::chrono::milliseconds kFeedDelay{ 180 };
 constexpr std::chrono::milliseconds kForwardDelay{ 600 };
-/// News that were missed are asked for at most this often: half a heartbeat.
+/// Shortest time between two requests for missed updates: half a heartbeat.
 constexpr std::chrono::milliseconds kUpdateRequestInterval{ 100 };
 
 std::uint64_t
@@ -97,8 +97,8 @@
   for (const auto& [id, engine] : mDirectory.Engines()) {
     add(id);
   }
-  // A head whose registration is gone works on; without a count of its requests it would pass for
-  // idle, and its replica be formed anew under them.
+  // A head whose registration has lapsed goes on working; without a count of its requests it would
+  // seem idle, and its replica would be re-formed under them.
   for (const auto& [service, planner] : mPlanners) {
     for (const auto& [id, engine] : planner.Members()) {
       add(id);
@@ -116,7 +116,7 @@
     return;
   }
   if (!mPeers.IsCurrent(message)) {
-    return; // of an earlier start, or the store has not named the node yet
+    return; // of a stale incarnation, or the store has not listed the node yet
   }
   switch (message.body_case()) {
     case proto::PeerMessage::kBeat:
@@ -138,11 +138,11 @@
       OnSuspicions(message.suspicions());
       return;
     case proto::PeerMessage::kSuspects:
-      // Whoever told it has told its delegates; they tell the nodes that rely on them.
+      // The sender has sent it to its delegates; they forward it to the nodes that rely on them.
       mSuspects.OnUpdate(message.suspects(), mTree.IsInUpperTier());
       return;
     case proto::PeerMessage::BODY_NOT_SET:
-      ++mCounters.mBadMessages; // of a newer version
+      ++mCounters.mBadMessages; // sent by a newer software version
       return;
   }
 }
@@ -194,7 +194,7 @@
 {
   const TimePoint now = Now();
   if (MayOrder()) {
-    return; // of a holder that has been replaced, or this one learns of its successor by the lease
+    return; // of a former holder, or of a successor that this node will learn of through the lease
   }
   switch (mUpdates.ApplyChanges(aMessage.news(), now)) {
     case UpdateTracker::ApplyOutcome::kStale:
@@ -263,8 +263,8 @@
 bool
 Coordinator::Impl::AsksFreshness() const
 {
-  // What another node reads for this one is only as new as its word. A read of its own that is held
-  // to its end tells twice in this time that nothing is new.
+  // Records that another node reads for this one are only as recent as its answers. A long poll of
+  // its own shows twice in this time that there is nothing new.
   return !ReadsForItself() ||
          Now() - mConfigFollower.AsOf() > mOptions.mConfigWait + mOptions.mBeat;
 }
@@ -338,8 +338,8 @@
 void
 Coordinator::Impl::NotifyHolder(const proto::Suspicions& aSuspicions)
 {
-  // Nobody else acts on a suspicion. It is told again while it lasts, so that whoever has just
-  // taken the lease hears of it as well.
+  // Only the holder acts on a suspicion. It is sent again while it lasts, so that a node that has
+  // just taken the lease receives it as well.
   proto::PeerMessage message = NewMessage();
   *message.mutable_suspicions() = aSuspicions;
   SendTo(mLease.Newest().holder(), message.SerializeAsString());
@@ -386,7 +386,7 @@
       n += mPeers.Alive(peer, now) ? static_cast<int>(peer.mBeat.followers()) : 0;
     }
   }
-  // A node that hears no delegate must not take all of a shared budget for itself.
+  // A node that is not in contact with a delegate must not take all of a shared budget.
   return n > 0 ? n : static_cast<int>(mPeers.Peers().size()) + 1;
 }
 
@@ -441,7 +441,7 @@
 Coordinator::Impl::AddLoads(proto::Beat* aBeat)
 {
   if (!mTree.FollowsItself() && Followers() == 0) {
-    return; // its places are counted by the desk that granted them
+    return; // its slots are counted by the allocator that granted them
   }
   EngineLimits limits = CountedLimits();
   for (const auto& [id, n] : mInFlight) {
--- a/src/pepperbay/coordinator/coordinator_pools.cpp
+++ b/src/pepperbay/coordinator/coordinator_pools.cpp
@@ -6,7 +6,7 @@
 
 namespace pepperbay {
 namespace {
-/// A head's silence is told every 200 ms while it lasts; one word of it may be lost.
+/// A head's silence is reported every 200 ms while it lasts; one report may be lost.
 constexpr std::chrono::milliseconds kSilenceReportLifetime{ 500 };
 }
 
@@ -16,8 +16,8 @@
   if (mStopping || !mRoutes) {
     return false;
   }
-  // While nobody can reach the log nobody can take the lease over either, and engines refuse the
-  // orders of whoever has been overtaken; repairs must not wait for the store.
+  // While the log is unreachable for all, no node can take the lease over, and engines refuse the
+  // orders of a node whose lease has been superseded; so repairs need not wait for the store.
   return mLease.Held() || (mLease.LastIsMine() && mLease.LogLost());
 }
 
@@ -63,7 +63,7 @@
   view.mTraffic = mTraffic;
   view.mDead = [this](const std::string& aEngine) { return mEngineSuspicions.IsLost(aEngine); };
   view.mEnded = [this](const std::string& aEngine) { return mEngineSuspicions.HasExited(aEngine); };
-  // Most rounds ask for none, some for every head of the pool.
+  // Computed on demand: most rounds need it for no head, some for every head of the pool.
   std::optional<std::unordered_map<std::string, int>> others;
   view.mInFlight = [this, &others](const std::string& aHead) {
     others = others ? std::move(others) : OthersInFlight();
@@ -230,8 +230,8 @@
 void
 Coordinator::Impl::OnRefused(const std::string& aHead)
 {
-  // A member that stops listening makes its head refuse; only the holder knows the members. Asked
-  // at once, its absence shows in a tenth of a second in place of most of one.
+  // A member that stops listening makes its head refuse requests; only the holder knows the
+  // members. Probed at once, the loss is detected in a tenth of a second instead of most of one.
   mHooks.mLog("refused", { { "head", aHead } });
   if (MayOrder()) {
     AskMembers(aHead, std::nullopt);
@@ -260,7 +260,7 @@
     it = now - it->second >= mOptions.mAskHeadAgain ? mHeadsAsked.erase(it) : std::next(it);
   }
   if (!mHeadsAsked.emplace(aHead, now).second) {
-    return; // its members have just been asked; another node has noticed the same pause
+    return; // its members have just been probed; another node has noticed the same pause
   }
   for (const auto& [name, planner] : mPlanners) {
     for (const auto& [group, replica] : planner.Replicas()) {
@@ -337,7 +337,7 @@
     return;
   }
   ++mCounters.mLostEngines[ToString(*aVerdict.mLostBy)];
-  // Domains go dark whole: the next repair must not choose a spare that is gone as well.
+  // Domains fail as a whole: the next repair must not choose a spare that is lost as well.
   for (const auto& [id, engine] : mDirectory.Engines()) {
     const bool neighbour = !engine.mDomain.empty() && engine.mDomain == aEngine.mDomain &&
                            engine.mService == aEngine.mService;
--- a/src/pepperbay/coordinator/coordinator_rate_leases.cpp
+++ b/src/pepperbay/coordinator/coordinator_rate_leases.cpp
@@ -8,7 +8,7 @@
 namespace {
 
 constexpr std::chrono::seconds kMaxLeaseLength{ 60 };
-/// Names the right to keep the budget of second attempts.
+/// Key of the retry lease: its holder manages the budget of second attempts.
 constexpr const char* kRetryLease = "retries";
 
 std::uint64_t
@@ -79,7 +79,7 @@
   if (aGranted.data_centres().empty() || aGranted.asker_incarnation() != mOptions.mIncarnation) {
     return;
   }
-  // Far from overflow, whatever a broken message says.
+  // Prevents overflow, whatever a corrupt message contains.
   const std::uint64_t length =
     std::min(aGranted.length_ns(), static_cast<std::uint64_t>(Duration(kMaxLeaseLength).count()));
   mRateLeases.OnGranted({ aGranted.data_centres().begin(), aGranted.data_centres().end() },
--- a/src/pepperbay/coordinator/coordinator_reach.cpp
+++ b/src/pepperbay/coordinator/coordinator_reach.cpp
@@ -1,4 +1,5 @@
-/// Ways to engines: whether this node reaches them, and through whom it goes where it does not.
+/// Paths to engines: whether this node reaches them directly, and which peers it tunnels through
+/// otherwise.
 #include "coordinator_impl.hpp"
 #include "pepperbay/base/hash.hpp"
 
@@ -7,7 +8,7 @@
 namespace pepperbay {
 namespace {
 
-/// Nodes that are named in one heartbeat; a data centre of the largest fleet has some 130.
+/// Nodes named in one heartbeat; a data centre of the largest fleet has some 130.
 constexpr int kMaxNamedNodes = 256;
 
 } // namespace
@@ -118,7 +119,8 @@
 Coordinator::Impl::PickProbeTarget(const EngineRecord& aNotThis)
 {
   std::vector<const EngineRecord*> others;
-  std::vector<const EngineRecord*> lessSuitable; ///< or neighbours, which are lost together
+  std::vector<const EngineRecord*>
+    lessSuitable; ///< under suspicion, or in the same domain, where engines are lost together
   for (const auto& [id, engine] : mDirectory.Engines()) {
     if (id == aNotThis.mId || mEngineSuspicions.IsLost(id)) {
       continue;
@@ -170,7 +172,7 @@
   const TimePoint now = Now();
   if (mReportedUnreached != IsUnreached()) {
     mReportedUnreached = IsUnreached();
-    mBeatDue = now; // others ask this node for nothing, and carry for it, from now on
+    mBeatDue = now; // from now on others do not tunnel through this node, and tunnel for it
   }
   std::size_t of = mPeers.Revision();
   for (const auto& [name, peer] : mPeers.Peers()) {
@@ -202,8 +204,8 @@
     return;
   }
   for (const auto& [name, peer] : mPeers.Peers()) {
-    // What was told by others goes to followers only, or two delegates would tell it each other for
-    // ever.
+    // Reports of other nodes go to followers only, or two delegates would repeat them to each other
+    // for ever.
     const bool reports = mPeers.Alive(peer, Now()) ? peer.mBeat.unreached()
                                                    : aToFollower && mPeers.Unreached(peer, Now());
     if (reports && aBeat->unreached_nodes_size() < kMaxNamedNodes) {
--- a/src/pepperbay/coordinator/coordinator_registrations.cpp
+++ b/src/pepperbay/coordinator/coordinator_registrations.cpp
@@ -18,9 +18,9 @@
     TakeEngine(std::move(engine.value()));
     return;
   }
-  // The log takes records of other writers. Such a record says nothing of an engine, not even that
-  // what stood there before still holds; sending requests by it would be a guess. An engine that
-  // lives writes its own record again.
+  // The log accepts records of other writers. An invalid record is no evidence on the engine, not
+  // even that the previous record still holds; sending requests on that basis would be a guess. A
+  // live engine writes its own record again.
   ++mCounters.mBadRegistrations;
   mDirectory.Withdraw(aRecord.mKey, Now());
   std::string reason = ToString(engine.error());
@@ -38,7 +38,8 @@
   const EngineRecord* known = mDirectory.Find(id);
   const bool leavesNow = aEngine.mLeaving && (known == nullptr || !known->mLeaving);
   if (mRoutes && mRoutes->FindService(aEngine.mService) == nullptr && known == nullptr) {
-    // Kept, since a later configuration may name the service; nothing is sent there until then.
+    // Kept, since a later configuration may contain the service; no requests are sent there until
+    // then.
     mHooks.mLog("engine_without_service", { { "engine", id }, { "service", aEngine.mService } });
   }
   switch (mDirectory.Put(std::move(aEngine), Now())) {
--- a/src/pepperbay/coordinator/quarantine_manager.cpp
+++ b/src/pepperbay/coordinator/quarantine_manager.cpp
@@ -23,7 +23,7 @@
   return kRecordPrefix + ToString(aKey);
 }
 
-/// @return nothing where the word is of a version that this one does not know.
+/// @return nothing for a value of a newer version that is unknown here.
 std::optional<Suspicion>
 SuspicionOf(std::uint32_t aWire)
 {
@@ -175,7 +175,7 @@
   for (const auto& it : aUpdate.requests()) {
     const RequestKey key = KeyOf(it);
     if (it.cleared()) {
-      // Whoever cleared it drops the record of the store as well.
+      // The node that cleared it removes the record from the store.
       const bool known = Forget(key, "cleared_by_peer");
       mToDrop.erase(key);
       if (known && aPassOn) {
@@ -222,7 +222,7 @@
   }
   stored.mWriter = request.writer();
   if (mCrashes.Score(KeyOf(request)) == 0) {
-    mToDrop.insert(KeyOf(request)); // its writer had not heard that it was cleared
+    mToDrop.insert(KeyOf(request)); // its writer had not been notified that it was cleared
   }
 }
 
@@ -259,7 +259,7 @@
   for (const auto& it : mCrashes.Expire(Now())) {
     DropState(it);
   }
-  // The book makes room for more suspected requests as well.
+  // The tracker also evicts suspected requests to make room.
   for (auto it = mObservedHere.begin(); it != mObservedHere.end();) {
     it = mCrashes.Score(*it) == 0 ? mObservedHere.erase(it) : std::next(it);
   }
@@ -315,7 +315,7 @@
 QuarantineManager::NeedsWrite(const RequestKey& aKey, bool aHoldsLease) const
 {
   if (mCrashes.Charge(aKey) < mOptions.mCrashes.mHoldFrom) {
-    return false; // something else accounts for the ends by now
+    return false; // another cause accounts for the exits by now
   }
   const int score = mCrashes.Score(aKey);
   const auto stored = mStored.find(aKey);
@@ -323,7 +323,7 @@
     return false;
   }
   const bool waited = Now() - mToPersist.at(aKey) >= mOptions.mHolderWriteDelay;
-  // Of two records that cross, the later may say less; its writer makes that good.
+  // Of two concurrent writes the later may contain less; its writer corrects that.
   const bool wrote = stored != mStored.end() && stored->second.mWriter == mOptions.mNode;
   return mObservedHere.count(aKey) != 0 || wrote || (aHoldsLease && waited);
 }
@@ -388,7 +388,7 @@
   stored.mScore = std::max(stored.mScore, aScore);
   stored.mWriter = mOptions.mNode;
   if (mCrashes.Score(aKey) == 0) {
-    mToDrop.insert(aKey); // it was cleared while the record was on its way
+    mToDrop.insert(aKey); // it was cleared while the write was pending
   }
 }
 
--- a/src/pepperbay/coordinator/quarantine_manager.hpp
+++ b/src/pepperbay/coordinator/quarantine_manager.hpp
@@ -1,11 +1,11 @@
 /// @file
-/// @brief What all nodes know of requests under which engines end: told to peers at once, kept in
-/// the store. Pure.
+/// @brief Shares what nodes know of requests under which engines exit: sent to peers at once, and
+/// persisted in the store. Pure.
 ///
-/// Each node sees only the ends that befell its own requests, and the same request comes back at
-/// any of them. So each end is told to the others, and a request that two engines have ended under
-/// is written into the nodes' log as well: there it reaches nodes that hear no peer, and those that
-/// start later.
+/// Each node observes only the exits under its own requests, and the same request returns at any
+/// node. So each exit is sent to the others, and a request under which two engines have exited is
+/// also written to the nodes' log: there it reaches nodes that are cut off from their peers, and
+/// those that start later.
 #pragma once
 
 #include "pepperbay/base/error.hpp"
@@ -24,79 +24,81 @@
 {
   std::string mNode;
   CrashBookOptions mCrashes;
-  /// A message that is lost is made good by the next; after so many they all are, or the peer is
-  /// away. What holds nothing back is passed on once: each crash of an engine brings some of that.
+  /// How often an update is sent. A lost message is compensated by the next; if as many are lost,
+  /// the peer is unreachable. An update that quarantines no request is forwarded once: each exit of
+  /// an engine causes some of those.
   int mSendCount = 3;
   Duration mSendInterval = std::chrono::milliseconds(200);
   /// Shortest time between two writes of this node. A caller with many such requests must not use
-  /// up the calls to the store that all nodes share.
+  /// up the rate of store calls that all nodes share.
   Duration mWriteInterval = std::chrono::milliseconds(100);
-  /// A write that failed is made again after the first of these, then after twice the time up to
-  /// the second.
+  /// A failed write is retried after the first of these, then after twice the pause up to the
+  /// second.
   Duration mMinWriteRetry = std::chrono::milliseconds(400);
   Duration mMaxWriteRetry = std::chrono::seconds(5);
-  /// Who saw an end writes it. If that node has ended as well, the holder of the lease does, after
-  /// this.
+  /// The node that observed an exit writes the record. If that node has stopped as well, the lease
+  /// holder does, after this.
   Duration mHolderWriteDelay = std::chrono::seconds(1);
-  /// What a request was cleared of is kept for so long: nodes that have not heard go on telling it,
-  /// and records of it are read late.
+  /// How long the exits that a request was cleared of are remembered: nodes that have not been
+  /// notified go on sending them, and records are read late.
   Duration mClearRetention = std::chrono::minutes(10);
 };
 
 struct QuarantineManagerHooks
 {
   NowFn mNow;
-  /// Write a record of the nodes' log; without a value its key is dropped.
+  /// Writes a record of the nodes' log; an empty value removes the key.
   std::function<
     void(const std::string& aKey, const std::string& aValue, std::function<void(Result<void>)>)>
     mPut;
-  /// Tell the nodes that this one exchanges heartbeats with.
+  /// Sends an update to the nodes that this one exchanges heartbeats with.
   std::function<void(const proto::SuspectNews&)> mSend;
   std::function<void(const char* aEvent, const std::map<std::string, std::string>& aFields)> mLog;
 };
 
 /// @code
-/// keeper.OnEnd(key, end);        // this node's traffic saw an engine end
-/// keeper.OnNews(news, passOn);   // a peer did
-/// keeper.Tick(holdsLease);       // often
+/// manager.OnEnd(key, end);           // this node observed an exit
+/// manager.OnUpdate(update, passOn);  // a peer observed one
+/// manager.Tick(holdsLease);          // often
 /// @endcode
 class QuarantineManager
 {
 public:
   QuarantineManager(QuarantineManagerOptions aOptions, QuarantineManagerHooks aHooks);
 
-  /// An engine ended that had a request of this node.
+  /// Records that an engine exited while it had a request of this node.
   void OnEnd(const RequestKey& aKey, const EngineEnd& aEnd);
-  /// An engine ran the request to its end.
+  /// Records that an engine completed the request.
   void OnRanToCompletion(const RequestKey& aKey);
-  /// An operator lets a request run again. @return whether it was known
+  /// Releases a request from quarantine on behalf of an operator. @return whether it was known
   bool Lift(const RequestKey& aKey);
-  /// @param aPassOn others hear of it by this node only
+  /// @param aPassOn whether to forward the update: other nodes depend on this one for it
   void OnUpdate(const proto::SuspectNews& aUpdate, bool aPassOn);
 
-  /// @return whether a key of the nodes' log is one of these records, and not a node's.
+  /// @return whether a key of the nodes' log belongs to such a record and not to a node.
   static bool IsRecord(const std::string& aLogKey);
   void OnRecord(const std::string& aLogKey, const std::optional<std::string>& aValue);
-  /// All records of the log follow; what is not among them is not in the store.
+  /// Announces that all records of the log follow; any other record is no longer in the store.
   void OnListBegins() { mStored.clear(); }
 
-  /// Do what is due.
+  /// Sends and writes what is due.
   void Tick(bool aHoldsLease);
 
   const CrashBook& Crashes() const { return mCrashes; }
-  /// Grows whenever a request is held back, for longer, or no more.
+  /// Increases whenever a request is quarantined, quarantined for longer, or released.
   std::uint64_t QuarantineRevision() const { return mQuarantineRevision; }
-  /// Words of peers or records that could not be read.
+  /// Updates of peers or records that could not be decoded.
   std::uint64_t BadRecords() const { return mBadRecords; }
 
 private:
-  /// What the newest record of the store says of a request.
+  /// Contents of the newest record of a request in the store.
   struct Stored
   {
     int mScore = 0;
     std::string mWriter;
   };
-  /// Engines whose ends count no more against a request. An engine's start ends only once.
+  /// Engines whose exits no longer count against a request. Each incarnation of an engine exits
+  /// only once.
   struct Cleared
   {
     std::set<std::uint64_t> mEngines;
@@ -110,36 +112,37 @@
   };
 
   TimePoint Now() const { return mHooks.mNow(); }
-  /// Take ends into the book. @param aSource who says so, for the log. @return whether one was new
+  /// Adds the exits of an update or record. @param aSource where it came from, for the log. @return
+  /// whether one was new
   bool AddEnds(const proto::SuspectRequest& aRequest, const char* aSource);
   bool Forget(const RequestKey& aKey, const char* aReason);
-  /// @return whether an engine's end counts no more against a request.
+  /// @return whether an engine's exit no longer counts against a request.
   bool IsCleared(const RequestKey& aKey, std::uint64_t aEngine) const;
-  /// Drop what is kept beside the book.
+  /// Drops the state of a request that is kept outside of `mCrashes`.
   void DropState(const RequestKey& aKey);
-  /// The book has more of a request. @param aBefore until when it was held back before
+  /// Handles additional exits under a request. @param aBefore until when it was quarantined before
   void OnScoreIncreased(const RequestKey& aKey, TimePoint aBefore, const char* aSource);
   void Expire(bool aHoldsLease);
   proto::SuspectRequest Describe(const RequestKey& aKey) const;
   void SendDue();
   bool NeedsWrite(const RequestKey& aKey, bool aHoldsLease) const;
   void WriteDue(bool aHoldsLease);
-  /// @return whether the record was written or is on its way
+  /// @return whether the record was written or its write is pending
   bool WriteOne(const RequestKey& aKey, const std::string& aValue);
-  /// @param aScore of the record; 0 where it was dropped
+  /// @param aScore score in the record; 0 if it was removed
   void OnWritten(const RequestKey& aKey, int aScore);
 
   QuarantineManagerOptions mOptions;
   QuarantineManagerHooks mHooks;
   CrashBook mCrashes;
-  std::map<RequestKey, int> mToSend;       ///< requests, and how often they are told yet
-  std::map<RequestKey, int> mClearsToSend; ///< the same for those that were cleared
+  std::map<RequestKey, int> mToSend;       ///< requests, and how often each is still to be sent
+  std::map<RequestKey, int> mClearsToSend; ///< the same for requests that were cleared
   std::map<RequestKey, Cleared> mCleared;
-  std::set<RequestKey> mObservedHere; ///< this node saw an engine end under it
-  /// Requests that belong into the store, and since when that is known here.
+  std::set<RequestKey> mObservedHere; ///< this node observed an exit under it
+  /// Requests that belong in the store, and since when that is known here.
   std::map<RequestKey, TimePoint> mToPersist;
   std::map<RequestKey, Stored> mStored;
-  std::set<RequestKey> mToDrop; ///< records to be dropped from the store
+  std::set<RequestKey> mToDrop; ///< records to be removed from the store
   std::map<RequestKey, Write> mWrites;
   TimePoint mSendDue{};
   TimePoint mWriteDue{};
--- a/src/pepperbay/coordinator/rate_leases.cpp
+++ b/src/pepperbay/coordinator/rate_leases.cpp
@@ -6,7 +6,7 @@
 namespace {
 
 constexpr int kPermille = 1000;
-/// How much more a contender must be followed to go before whoever counts now.
+/// How many times more followers another requester must have to take precedence over this one.
 constexpr std::size_t kFollowedRatio = 2;
 
 } // namespace
@@ -81,7 +81,7 @@
   if (aAskedAt > aNow || aNow - aAskedAt >= aLength) {
     return;
   }
-  // From the question on: the holder counts from later, whatever the answer's way took.
+  // Counted from the request: the holder counts from a later time, whatever the answer's delay.
   const TimePoint until = aAskedAt + aLength;
   for (const auto& it : aDataCentres) {
     RateLease& lease = mLeases[it];
