--- a/scripts/mutants/shared_pool.sh
+++ b/scripts/mutants/shared_pool.sh
@@ -109,7 +109,7 @@
   's/<= aOwn\[i\]/<= aOwn[i] + 1/' \
   coordinator_coordinator_freshness_test '*AnAgeOfALog*'
 mutant "a node whose view is old waits for its reader" $s/coordinator/coordinator_logs.cpp \
-  's/if \(ReadsConfigurationDirectly\(\)\) \{/if (false) {/; s/const bool looks = ReadsEnginesDirectly\(\);/const bool looks = false;/' \
+  's/if \(ReadsConfigurationDirectly\(\)\) \{/if (false) {/; s/const bool readsDirectly = ReadsEnginesDirectly\(\);/const bool readsDirectly = false;/' \
   coordinator_coordinator_readers_test '*ReadersThatHearNothing*'
 mutant "registrations have no age" $s/coordinator/coordinator_logs.cpp \
   's/const bool old = age >= mOptions.mBounds.mEnginesDirectReadAfter;/const bool old = false;/' coordinator_coordinator_readers_test '*OnlyItsLogIsSilent*'
--- a/scripts/mutants/suspects.sh
+++ b/scripts/mutants/suspects.sh
@@ -27,7 +27,7 @@
 mutant "records of the nodes' log are not read" $coordinator/coordinator_peers.cpp \
   's/mSuspects.OnRecord\(aRecord.mKey, aRecord.mValue\);/;/' $suspects '*ThroughTheStore*'
 mutant "writes have no rate" $coordinator/quarantine_manager.hpp \
-  's/mWriteInterval = std::chrono::milliseconds\(100\)/mWriteEvery{ 0 }/' $suspects '*BoundedRate*'
+  's/mWriteInterval = std::chrono::milliseconds\(100\)/mWriteInterval{ 0 }/' $suspects '*BoundedRate*'
 mutant "failed writes are made again at once" $coordinator/quarantine_manager.cpp \
   's/done.mDue = Now\(\) \+ done.mPause;/done.mDue = Now();/' $suspects '*OnceTheStoreIsBack*'
 mutant "a run to the end is not told" $coordinator/quarantine_manager.cpp \
--- a/src/pepperbay/coordinator/coordinator_registrations.cpp
+++ b/src/pepperbay/coordinator/coordinator_registrations.cpp
@@ -24,10 +24,10 @@
   ++mCounters.mBadRegistrations;
   mDirectory.Withdraw(aRecord.mKey, Now());
   std::string reason = ToString(engine.error());
-  std::string& told = mRefusedEntries[aRecord.mKey];
-  if (told != reason) {
+  std::string& loggedReason = mRefusedEntries[aRecord.mKey];
+  if (loggedReason != reason) {
     mHooks.mLog("registration_refused", { { "key", aRecord.mKey }, { "error", reason } });
-    told = std::move(reason);
+    loggedReason = std::move(reason);
   }
 }
 
