--- a/include/pepperbay/coordinator/coordinator.hpp
+++ b/include/pepperbay/coordinator/coordinator.hpp
@@ -53,7 +53,7 @@
   /// A weaker holder yields the lease to a stronger node at most once in this time. A node that
   /// does not take it has lost the store, or is about to stop.
   Duration mYieldInterval = std::chrono::seconds(15);
-  Duration mBeat = std::chrono::milliseconds(200);
+  Duration mHeartbeatInterval = std::chrono::milliseconds(200);
   /// A peer that has sent no heartbeat for this long is not counted as live.
   Duration mPeerSilence = std::chrono::milliseconds(1200);
   Duration mLease = std::chrono::milliseconds(1200);
--- a/src/pepperbay/coordinator/coordinator.cpp
+++ b/src/pepperbay/coordinator/coordinator.cpp
@@ -259,7 +259,7 @@
 Coordinator::Impl::Tick()
 {
   const TimePoint now = Now();
-  if (now >= mBeatDue) {
+  if (now >= mHeartbeatDue) {
     PutOwnRecord();
   }
   mTree.Tick(
@@ -280,7 +280,7 @@
   }
   PlanPools();
   mSuspects.Tick(mLease.Held());
-  if (now >= mBeatDue) {
+  if (now >= mHeartbeatDue) {
     SendBeat();
   }
   Publish();
@@ -298,7 +298,7 @@
   if (weaker && mLease.Held() && now >= mYieldDue) {
     mYieldDue = now + mOptions.mYieldInterval;
     mLease.Yield();
-    mBeatDue = now; // the others wait less once they know
+    mHeartbeatDue = now; // the others wait less once they know
     mHooks.mLog("lease_yielded", { { "cpu_permille", std::to_string(mOptions.mCpuPermille) } });
   }
 }
@@ -475,7 +475,7 @@
 {
   mImpl->mStopping = true;
   mImpl->mLease.Release();
-  mImpl->mBeatDue = mImpl->Now();
+  mImpl->mHeartbeatDue = mImpl->Now();
 }
 
 void
--- a/src/pepperbay/coordinator/coordinator_impl.hpp
+++ b/src/pepperbay/coordinator/coordinator_impl.hpp
@@ -274,8 +274,8 @@
   bool mTraffic = false;
   bool mStopping = false;
   bool mRecordWritten = false;
-  bool mRecordOnItsWay = false;
-  TimePoint mBeatDue{};
+  bool mRecordPending = false;
+  TimePoint mHeartbeatDue{};
   TimePoint mYieldDue{};
   TimePoint mPublishDue{};
   TimePoint mLastBuild{}; ///< when the replicas were last built
--- a/src/pepperbay/coordinator/coordinator_logs.cpp
+++ b/src/pepperbay/coordinator/coordinator_logs.cpp
@@ -68,7 +68,7 @@
   }
   if (StoreLost() != mReportedStoreLost) {
     mReportedStoreLost = StoreLost();
-    mBeatDue = Now(); // the others then choose another reader
+    mHeartbeatDue = Now(); // the others then choose another reader
   }
 }
 
--- a/src/pepperbay/coordinator/coordinator_peers.cpp
+++ b/src/pepperbay/coordinator/coordinator_peers.cpp
@@ -52,10 +52,10 @@
 void
 Coordinator::Impl::PutOwnRecord()
 {
-  if (mRecordWritten || mRecordOnItsWay) {
+  if (mRecordWritten || mRecordPending) {
     return;
   }
-  mRecordOnItsWay = true;
+  mRecordPending = true;
   ++mCounters.mStoreCalls["nodes_put"];
   proto::NodeRecord record;
   record.set_node(mOptions.mNode);
@@ -67,7 +67,7 @@
   record.set_data_centre(mOptions.mDataCentre);
   record.set_cpu_permille(static_cast<std::uint32_t>(mOptions.mCpuPermille));
   mHooks.mPutNode(mOptions.mNode, record.SerializeAsString(), [this](const Result<void>& aResult) {
-    mRecordOnItsWay = false;
+    mRecordPending = false;
     mRecordWritten = aResult.has_value();
   });
 }
@@ -266,7 +266,7 @@
   // Records that another node reads for this one are only as recent as its answers. A long poll of
   // its own shows twice in this time that there is nothing new.
   return !ReadsForItself() ||
-         Now() - mConfigFollower.AsOf() > mOptions.mConfigWait + mOptions.mBeat;
+         Now() - mConfigFollower.AsOf() > mOptions.mConfigWait + mOptions.mHeartbeatInterval;
 }
 
 void
@@ -403,7 +403,7 @@
 Coordinator::Impl::SendBeat()
 {
   const TimePoint now = Now();
-  mBeatDue = now + mOptions.mBeat;
+  mHeartbeatDue = now + mOptions.mHeartbeatInterval;
   const std::set<std::string> targets = mTree.TakeTargets();
   std::set<std::string> recipients = targets;
   for (auto& it : mPeers.Correspondents(now)) {
--- a/src/pepperbay/coordinator/coordinator_reach.cpp
+++ b/src/pepperbay/coordinator/coordinator_reach.cpp
@@ -172,7 +172,7 @@
   const TimePoint now = Now();
   if (mReportedUnreached != IsUnreached()) {
     mReportedUnreached = IsUnreached();
-    mBeatDue = now; // from now on others do not tunnel through this node, and tunnel for it
+    mHeartbeatDue = now; // from now on others do not tunnel through this node, and tunnel for it
   }
   std::size_t of = mPeers.Revision();
   for (const auto& [name, peer] : mPeers.Peers()) {
