--- a/include/pepperbay/coordinator/coordinator.hpp
+++ b/include/pepperbay/coordinator/coordinator.hpp
@@ -34,8 +34,8 @@
   std::uint64_t mIncarnation = 0;
   std::string mDataCentre;
   std::string mAddress; ///< `IP:port` at which this node receives messages of peers
-  std::string
-    mAllocatorAddress; ///< where its slot allocator receives messages; see places/place_agent.hpp
+  /// Where its slot allocator receives messages; see places/place_agent.hpp.
+  std::string mAllocatorAddress;
   /// Where it tunnels connections to engines for other nodes, and the key that these must present;
   /// empty: it does not tunnel. See tunnel/tunnel_server.hpp.
   std::string mTunnelAddress;
@@ -140,12 +140,12 @@
   /// Times that a lost engine was found to have exited, by the evidence; see LostEvidence.
   std::map<std::string, std::uint64_t> mExitedEngines;
   std::uint64_t mPauses = 0; ///< lost engines that answered again before they counted as exited
-  std::uint64_t mUndecided =
-    0; ///< times that no node that reaches engines had evidence on a silent engine
+  /// Times that no node that reaches engines had evidence on a silent engine.
+  std::uint64_t mUndecided = 0;
   std::uint64_t mBeats = 0;
   std::uint64_t mFeeds = 0; ///< batches of store records forwarded by another node
-  std::uint64_t mDirectReads =
-    0; ///< direct reads of the store because forwarded records were too old
+  /// Direct reads of the store because forwarded records were too old.
+  std::uint64_t mDirectReads = 0;
   std::uint64_t mBadMessages = 0;
   std::uint64_t mBadConfigurations = 0;
   std::uint64_t mBadRegistrations = 0;    ///< registrations that could not be decoded
@@ -154,8 +154,8 @@
   std::uint64_t mSuspectRequests = 0;     ///< requests under which engines have exited; now
   std::uint64_t mQuarantinedRequests = 0; ///< of these, quarantined; now
   std::uint64_t mStoreRestored = 0;       ///< logs that the store restored from an older copy
-  std::uint64_t mBadSuspects =
-    0; ///< records or messages on suspect requests that could not be decoded
+  /// Records or messages on suspect requests that could not be decoded.
+  std::uint64_t mBadSuspects = 0;
 };
 
 class Coordinator
--- a/src/pepperbay/coordinator/coordinator.cpp
+++ b/src/pepperbay/coordinator/coordinator.cpp
@@ -17,8 +17,8 @@
 /// Shortest time between two builds of the replicas: one takes half a millisecond in front of 875
 /// engines, and while a pool forms every round changes something.
 constexpr std::chrono::milliseconds kBuildEvery{ 40 };
-/// Upper limit of the random addition to a challenger's wait, so that not all claim a free lease at
-/// once.
+/// Upper limit of the addition to a challenger's wait, which differs by node, so that not all claim
+/// a free lease at once.
 constexpr std::chrono::milliseconds kMaxStagger{ 120 };
 /// Updates of a holder that has been silent for this long are not used: the holder may be gone and
 /// newer registrations may differ.
--- a/src/pepperbay/coordinator/coordinator_dump.cpp
+++ b/src/pepperbay/coordinator/coordinator_dump.cpp
@@ -43,14 +43,11 @@
   }
   Json peers = Json::array();
   for (const auto& [name, it] : mPeers.Peers()) {
-    peers.push_back(
-      { { "node", name },
-        { "address", it.mAddress },
-        { "alive",
-          mPeers.Alive(it,
-                       Now()) }, // heard from recently; most nodes hear from their delegates only
-        { "relies_on_this", it.mBeat.follows() },
-        { "configuration", it.mBeat.config_version() } });
+    peers.push_back({ { "node", name },
+                      { "address", it.mAddress },
+                      { "alive", mPeers.Alive(it, Now()) }, // most nodes only hear from delegates
+                      { "relies_on_this", it.mBeat.follows() },
+                      { "configuration", it.mBeat.config_version() } });
   }
   Json lost = Json::array();
   for (const auto& [engine, since] : mEngineSuspicions.Lost()) {
--- a/src/pepperbay/coordinator/coordinator_impl.hpp
+++ b/src/pepperbay/coordinator/coordinator_impl.hpp
@@ -258,16 +258,16 @@
   RateLeaseTable mGrantedRetryLeases; ///< granted to this node itself, while it holds the lease
   HeldRateLeases mRetryLeases;
   std::map<std::string, proto::RateLeases> mRateLeaseAnswers; ///< to be sent, by node
-  std::map<std::string, TimePoint>
-    mSilentHeads; ///< heads whose streams have stalled, when last reported
+  /// Heads whose streams have stalled, when last reported.
+  std::map<std::string, TimePoint> mSilentHeads;
   std::map<std::string, TimePoint> mHeadsAsked; ///< heads whose members were just probed
   std::unordered_map<std::uint32_t, std::string> mShortIds; ///< of the directory's engines
   std::uint64_t mShortIdsOf = 0; ///< revision of the directory that they were built from
   std::uint64_t mPlannedFence = 0;
   std::uint64_t mPublishedRevision = 0;
   std::uint64_t mPublishedSuspects = 0; ///< revision of the tracker that the plan was built from
-  std::uint64_t mPublishedQuarantine =
-    0; ///< the same for quarantined requests, which are published at once
+  /// The same for quarantined requests, which are published at once.
+  std::uint64_t mPublishedQuarantine = 0;
   std::shared_ptr<const SuspectRequests> mSuspectRequests; ///< as in the plan
   std::shared_ptr<const TrafficPlan> mPlan;                ///< the last published plan
   bool mChanged = true;
--- a/src/pepperbay/coordinator/coordinator_reach.cpp
+++ b/src/pepperbay/coordinator/coordinator_reach.cpp
@@ -119,8 +119,8 @@
 Coordinator::Impl::PickProbeTarget(const EngineRecord& aNotThis)
 {
   std::vector<const EngineRecord*> others;
-  std::vector<const EngineRecord*>
-    lessSuitable; ///< under suspicion, or in the same domain, where engines are lost together
+  /// Under suspicion, or in the same domain, where engines are lost together
+  std::vector<const EngineRecord*> lessSuitable;
   for (const auto& [id, engine] : mDirectory.Engines()) {
     if (id == aNotThis.mId || mEngineSuspicions.IsLost(id)) {
       continue;
--- a/src/pepperbay/coordinator/node_tree.hpp
+++ b/src/pepperbay/coordinator/node_tree.hpp
@@ -112,16 +112,16 @@
 
   NodeTreeOptions mOptions;
   std::uint64_t mRankedOf = 0; ///< revision of the list of nodes
-  std::map<std::string, std::vector<std::string>>
-    mOrders; ///< by data centre; a single one, if shared
+  /// By data centre; a single one, if shared.
+  std::map<std::string, std::vector<std::string>> mOrders;
   bool mSharesDelegates = true;
   std::string mScope; ///< key of this node's own ranking
   TimePoint mChooseDue{};
   TimePoint mTicked{};
   TimePoint mLastPauseEnd{};                 ///< end of the last pause of this process
   std::map<std::string, TimePoint> mWatched; ///< nodes that are sent heartbeats, since when
-  std::map<std::string, TimePoint>
-    mLastTried;                    ///< silent nodes, when they were last sent a heartbeat
+  /// Silent nodes, when they were last sent a heartbeat.
+  std::map<std::string, TimePoint> mLastTried;
   std::set<std::string> mSelected; ///< result of the last choice
   std::set<std::string> mProbes;   ///< silent nodes that are due to be tried again
   std::vector<std::string> mDelegates;
