--- a/cmake/Layers.cmake
+++ b/cmake/Layers.cmake
@@ -67,10 +67,10 @@
 # A node before a shared pool of engines, and the users' platform, which only translates.
 pepperbay_library(coordinator SOURCES coordinator.cpp coordinator_bounds.cpp coordinator_dump.cpp coordinator_peers.cpp
                                       coordinator_pools.cpp coordinator_registrations.cpp
-                                      coordinator_reach.cpp engine_calls.cpp engine_doubts.cpp freshness_book.cpp
-                                      coordinator_logs.cpp coordinator_rate_leases.cpp log_reads.cpp news_book.cpp
-                                      node_tree.cpp peer_book.cpp plan_builder.cpp
-                                      rate_leases.cpp sight_looks.cpp suspect_keeper.cpp
+                                      coordinator_reach.cpp engine_calls.cpp engine_suspicions.cpp freshness_tracker.cpp
+                                      coordinator_logs.cpp coordinator_rate_leases.cpp log_reads.cpp update_tracker.cpp
+                                      node_tree.cpp peer_table.cpp plan_builder.cpp
+                                      rate_leases.cpp reachability_probes.cpp quarantine_manager.cpp
                   TESTS coordinator_test.cpp coordinator_tree_test.cpp coordinator_freshness_test.cpp coordinator_readers_test.cpp
                         coordinator_messages_test.cpp
                         coordinator_registrations_test.cpp coordinator_restored_test.cpp
@@ -78,8 +78,8 @@
                         coordinator_reach_test.cpp coordinator_pauses_test.cpp coordinator_pauses_beside_test.cpp
                         coordinator_ended_test.cpp
                         coordinator_many_engines_test.cpp coordinator_limits_test.cpp
-                        engine_calls_test.cpp engine_doubts_test.cpp log_reads_test.cpp
-                        rate_leases_test.cpp round_pace_test.cpp sight_looks_test.cpp
+                        engine_calls_test.cpp engine_suspicions_test.cpp log_reads_test.cpp
+                        rate_leases_test.cpp round_pace_test.cpp reachability_probes_test.cpp
                   USES journal lease membership placement quarantine reach routing
                   PACKAGES nlohmann_json::nlohmann_json) # pure
 pepperbay_library(tunnel SOURCES sockets.cpp listener.cpp tunnel_server.cpp carried_connection.cpp
--- a/scripts/mutants/reach.sh
+++ b/scripts/mutants/reach.sh
@@ -1,7 +1,7 @@
 # Ways to engines: through peers, and what is concluded from silence; read by scripts/mutants.sh.
 # shellcheck shell=bash disable=SC2154
 reach=relay_relay_reach_test
-doubts=coordinator_engine_doubts_test
+doubts=coordinator_engine_suspicions_test
 tunnel=tunnel_tunnel_test
 mutant "a node knows one way to an engine" $s/relay/connect_operation.cpp \
   's/  if \(mAsked.size\(\) >= mConnector->mOptions.mMostPeers\)/  if (true)/' $reach '*WherePeersAreCut*:*AConnectionThatLivesOn*'
@@ -11,14 +11,14 @@
   's/if \(\+\+mGood >= .*/if (++mGood > 0) {/' reach_way_book_test '*EachEngineThatPeersHaveReached*'
 mutant "a few faulty paths are a cut" $s/reach/way_book.cpp \
   's/\(hearsNothing \|\| mostly\)/true/' reach_way_book_test '*AQuarterOfThePaths*'
-mutant "one place's silence is enough" $s/coordinator/engine_doubts.cpp \
-  's/places < kPlaces \&\& !last/false/' $doubts '*NeedsTheWordOfTwoPeers*'
-mutant "the silence of a blind node counts" $s/coordinator/engine_doubts.cpp \
-  's/question.mUnansweredHere \&\& question.mSees/question.mUnansweredHere/' $doubts '*ABlindNodeNeeds*:*PeersOfAnOlderVersion*'
-mutant "a peer that was not heard counts" $s/coordinator/engine_doubts.cpp \
-  's/\} else if \(word\) \{/} else {/' $doubts '*ThatWasNotHeard*'
-mutant "a blind holder asks itself" $s/coordinator/engine_doubts.cpp \
-  's/!mHooks.mIsBlind\(\) \|\|/true ||/' $doubts '*ThatKnowsThatItIsBlind*'
+mutant "one place's silence is enough" $s/coordinator/engine_suspicions.cpp \
+  's/vantagePoints < kRequiredVantagePoints \&\& !last/false/' $doubts '*NeedsTheWordOfTwoPeers*'
+mutant "the silence of a blind node counts" $s/coordinator/engine_suspicions.cpp \
+  's/investigation.mOwnProbeFailed \&\& investigation.mReachesOthers/investigation.mOwnProbeFailed/' $doubts '*ABlindNodeNeeds*:*PeersOfAnOlderVersion*'
+mutant "a peer that was not heard counts" $s/coordinator/engine_suspicions.cpp \
+  's/\} else if \(conclusive\) \{/} else {/' $doubts '*ThatWasNotHeard*'
+mutant "a blind holder asks itself" $s/coordinator/engine_suspicions.cpp \
+  's/!mHooks.mIsUnreached\(\) \|\|/true ||/' $doubts '*ThatKnowsThatItIsBlind*'
 mutant "what a cut breaks off is the engine's failure" $s/relay/exit_probe.cpp \
   's/if \(aConnection.mSocket->mPeer.empty\(\)\)/if (true)/' $reach '*WhatACutBreaksOff*'
 mutant "anybody is let in" $s/tunnel/carried_connection.cpp \
@@ -35,12 +35,12 @@
   's/  if \(mSight\) \{/  if (true) {/' $tunnel '*WhetherOthersAnswer*'
 mutant "peers do not take turns" include/pepperbay/reach/proxy_choice.hpp \
   's/ mAsked\[aNode\] = \+\+mAsks; //' reach_proxy_choice_test '*TakeTurns*'
-mutant "nodes that reach nothing are asked" $s/coordinator/peer_book.cpp \
+mutant "nodes that reach nothing are asked" $s/coordinator/peer_table.cpp \
   's/ \&\& !Unreached\(peer, aNow\)//' coordinator_coordinator_reach_test '*WhoReachesNoEngine*'
 mutant "delegates do not tell who reaches nothing" $s/coordinator/coordinator_reach.cpp \
-  's/  if \(!mTree.IsUpper\(\)\) \{/  if (true) {/' coordinator_coordinator_reach_test 'ReachOfAFleet.*'
+  's/  if \(!mTree.IsInUpperTier\(\)\) \{/  if (true) {/' coordinator_coordinator_reach_test 'ReachOfAFleet.*'
 mutant "the lease does not wait for who reaches engines" $s/coordinator/coordinator.cpp \
-  's/weaker \|\| \(IsUnreached\(\) \&\& HearsReached\(\)\)/weaker/' coordinator_coordinator_reach_test '*EitherIsCut*'
+  's/weaker \|\| \(IsUnreached\(\) \&\& HasReachingPeer\(\)\)/weaker/' coordinator_coordinator_reach_test '*EitherIsCut*'
 mutant "a kept connection that is closed uses its engine up" $s/relay/exchange_suspect.cpp \
   's/  if \(aEnd.mStale\) \{/  if (false) {/' relay_relay_moves_test '*KeptConnectionIsClosed*'
 mutant "a server ends with answers unsent" $s/http/server.cpp \
@@ -59,10 +59,10 @@
   's/      !fails \&\& it.mDataCentre/      it.mDataCentre/' reach_proxy_choice_test '*PeersAside*'
 mutant "peers that have failed take no part once three were asked" $s/relay/connect_operation.cpp \
   's/fails \&\& mFailedPeersAsked >= /fails \&\& mAsked.size() >= /' relay_connector_peers_test '*OneThatFailed*'
-mutant "what was heard before a failure is sight" $s/coordinator/engine_doubts.cpp \
-  's/question.mUnansweredHere \&\& question.mSees/question.mUnansweredHere/' coordinator_coordinator_reach_test '*OneOther*'
+mutant "what was heard before a failure is sight" $s/coordinator/engine_suspicions.cpp \
+  's/investigation.mOwnProbeFailed \&\& investigation.mReachesOthers/investigation.mOwnProbeFailed/' coordinator_coordinator_reach_test '*OneOther*'
 mutant "a kept connection is sight" $s/coordinator/coordinator_reach.cpp \
   's/options.mOwnConnection = true;/options.mOwnConnection = false;/' coordinator_coordinator_reach_test '*OneOther*'
-mutant "a failure shares the look that was begun before" $s/coordinator/sight_looks.cpp \
+mutant "a failure shares the look that was begun before" $s/coordinator/reachability_probes.cpp \
   's/mHooks.mAsk\(\*engine, \[this, waiting = std::move\(waiting\)\]\(bool aAnswered\) \{/mHooks.mAsk(*engine, [this, waiting = std::move(waiting)](bool aAnswered) mutable { for (auto\& it : std::exchange(mWaiting, {})) { waiting.push_back(std::move(it)); }/' \
-  coordinator_sight_looks_test '*PutBefore*'
+  coordinator_reachability_probes_test '*PutBefore*'
--- a/scripts/mutants/shared_pool.sh
+++ b/scripts/mutants/shared_pool.sh
@@ -98,21 +98,21 @@
 mutant "any node gives orders" $s/coordinator/coordinator_pools.cpp \
   's/return mLease.Held\(\) \|\| .*/return true;/' coordinator_coordinator_test '*OneNodeOrders*'
 mutant "a silent member is not asked" $s/coordinator/coordinator_pools.cpp \
-  's/mDoubts.Ask\(\*engine\);/;/' coordinator_coordinator_test '*TakesOverAndRepairs*'
+  's/mEngineSuspicions.Ask\(\*engine\);/;/' coordinator_coordinator_test '*TakesOverAndRepairs*'
 mutant "a silent delegate is followed" $s/coordinator/node_tree.cpp \
   's/standing != Standing::kSilent && //; s/self \|\| StandingOf\(it, aPeers, aNow\) == Standing::kHeard/true/' \
   coordinator_coordinator_tree_test '*AnotherDelegate*'
-mutant "a freshness answer counts from its receipt" $s/coordinator/freshness_book.cpp \
+mutant "a freshness answer counts from its receipt" $s/coordinator/freshness_tracker.cpp \
   's/answered - FromNs\(beat.config_age_ns\(\)\)/aNow/' \
   coordinator_coordinator_tree_test '*NeverNewer*'
-mutant "an age of records that are missing here counts" $s/coordinator/freshness_book.cpp \
+mutant "an age of records that are missing here counts" $s/coordinator/freshness_tracker.cpp \
   's/<= aOwn\[i\]/<= aOwn[i] + 1/' \
   coordinator_coordinator_freshness_test '*AnAgeOfALog*'
 mutant "a node whose view is old waits for its reader" $s/coordinator/coordinator_logs.cpp \
-  's/if \(LooksAtConfiguration\(\)\) \{/if (false) {/; s/const bool looks = LooksAtEngines\(\);/const bool looks = false;/' \
+  's/if \(ReadsConfigurationDirectly\(\)\) \{/if (false) {/; s/const bool readsDirectly = ReadsEnginesDirectly\(\);/const bool readsDirectly = false;/' \
   coordinator_coordinator_readers_test '*ReadersThatHearNothing*'
 mutant "registrations have no age" $s/coordinator/coordinator_logs.cpp \
-  's/const bool old = age >= mOptions.mBounds.mEnginesLookAfter;/const bool old = false;/' coordinator_coordinator_readers_test '*OnlyItsLogIsSilent*'
+  's/const bool old = age >= mOptions.mBounds.mEnginesDirectReadAfter;/const bool old = false;/' coordinator_coordinator_readers_test '*OnlyItsLogIsSilent*'
 mutant "a node that the store did not answer asks no more" $s/coordinator/coordinator_logs.cpp \
   's/if \(!old && !StoreLost\(\)\)/if (!old)/' coordinator_coordinator_readers_test '*MayReadAgain*'
 mutant "news are not passed on" $s/coordinator/coordinator_peers.cpp \
--- a/src/pepperbay/coordinator/coordinator.cpp
+++ b/src/pepperbay/coordinator/coordinator.cpp
@@ -9,47 +9,48 @@
 namespace pepperbay {
 namespace {
 
-/// Counts of requests that other desks have found places for come with their heartbeats; half of
-/// that. Nodes that find no places for others need only the time up to which keys are trusted,
-/// which moves by seconds.
+/// Interval of plans without other changes. Counts of requests that other allocators have assigned
+/// slots to arrive with their heartbeats; this is half of that interval. Nodes that allocate no
+/// slots for others need only the time up to which keys are trusted, which advances by seconds.
 constexpr std::chrono::milliseconds kPublishEvery{ 100 };
 constexpr std::chrono::milliseconds kFollowerPublishEvery{ 400 };
-/// The replicas are put together at most this often: it takes half a millisecond before 875
-/// engines, and while a pool forms there is something new at every round.
+/// Shortest time between two builds of the replicas: one takes half a millisecond in front of 875
+/// engines, and while a pool forms every round changes something.
 constexpr std::chrono::milliseconds kBuildEvery{ 40 };
-/// Most that a challenger's wait is lengthened, so that not all claim a free lease at once.
-constexpr std::chrono::milliseconds kMostStagger{ 120 };
-/// News of a holder that has been silent for this long is not used: the holder may be gone and the
-/// registrations have moved on.
-constexpr std::chrono::seconds kNewsLife{ 3 };
+/// Upper limit of the addition to a challenger's wait, which differs by node, so that not all claim
+/// a free lease at once.
+constexpr std::chrono::milliseconds kMaxStagger{ 120 };
+/// Updates of a holder that has been silent for this long are not used: the holder may be gone and
+/// newer registrations may differ.
+constexpr std::chrono::seconds kUpdateLifetime{ 3 };
 
 Duration
 StaggerOf(const CoordinatorOptions& aOptions)
 {
-  return kMostStagger * static_cast<int>(Hash64(aOptions.mNode) % kMostStagger.count()) /
-         static_cast<int>(kMostStagger.count());
+  return kMaxStagger * static_cast<int>(Hash64(aOptions.mNode) % kMaxStagger.count()) /
+         static_cast<int>(kMaxStagger.count());
 }
 
-/// @param aBetween pause between two reads that the owner of the follower keeps
+/// @param aBetween pause between two reads that the caller adds
 KeyedFollowerOptions
-HeldReads(Duration aWait, Duration aPause, Duration aBetween = Duration::zero())
+LongPollOptions(Duration aWait, Duration aPause, Duration aBetween = Duration::zero())
 {
-  /// A store that is slow still answers within this.
-  constexpr std::chrono::milliseconds kSlow{ 300 };
+  /// A slow store still answers within this.
+  constexpr std::chrono::milliseconds kSlowStoreMargin{ 300 };
   KeyedFollowerOptions options;
   options.mWait = aWait;
   options.mPause = aPause;
-  options.mMostGap = aWait + aBetween + kSlow;
+  options.mMostGap = aWait + aBetween + kSlowStoreMargin;
   return options;
 }
 
-EngineDoubtsOptions
-DoubtsOptionsOf(const CoordinatorOptions& aOptions)
+EngineSuspicionsOptions
+SuspicionsOptionsOf(const CoordinatorOptions& aOptions)
 {
-  EngineDoubtsOptions options;
+  EngineSuspicionsOptions options;
   options.mAskTimeout = aOptions.mAskTimeout;
   options.mAskAgain = aOptions.mAskAgain;
-  options.mPauseMost = aOptions.mPlanner.mPauseMost;
+  options.mMaxPause = aOptions.mPlanner.mPauseMost;
   options.mAskState = aOptions.mAskState;
   return options;
 }
@@ -66,16 +67,17 @@
   return options;
 }
 
-/// Nodes let a request that is held back for a moment through one after the other.
-constexpr std::chrono::milliseconds kMostHoldSpread{ 2000 };
+/// Nodes let a briefly quarantined request through one after the other.
+constexpr std::chrono::milliseconds kMaxQuarantineSpread{ 2000 };
 
-SuspectKeeperOptions
-SuspectOptionsOf(const CoordinatorOptions& aOptions)
+QuarantineManagerOptions
+QuarantineOptionsOf(const CoordinatorOptions& aOptions)
 {
-  SuspectKeeperOptions options;
+  QuarantineManagerOptions options;
   options.mNode = aOptions.mNode;
-  const auto part = Hash64(aOptions.mNode) % static_cast<std::uint64_t>(kMostHoldSpread.count());
-  options.mBook.mSpread = std::chrono::milliseconds(part);
+  const auto part =
+    Hash64(aOptions.mNode) % static_cast<std::uint64_t>(kMaxQuarantineSpread.count());
+  options.mCrashes.mSpread = std::chrono::milliseconds(part);
   return options;
 }
 
@@ -105,7 +107,7 @@
       return "holder";
     case StoreCallReason::kMissed:
       return "missed";
-    case StoreCallReason::kDoubt:
+    case StoreCallReason::kStale:
       return "doubt";
     case StoreCallReason::kList:
       return "list";
@@ -116,7 +118,7 @@
 Coordinator::Impl::Impl(CoordinatorOptions aOptions, CoordinatorHooks aHooks)
   : mOptions(std::move(aOptions))
   , mHooks(std::move(aHooks))
-  , mConfigFollower(HeldReads(mOptions.mConfigWait, std::chrono::milliseconds(50)),
+  , mConfigFollower(LongPollOptions(mOptions.mConfigWait, std::chrono::milliseconds(50)),
                     mHooks.mConfigLog,
                     Events(
                       FollowedLog::kConfiguration,
@@ -127,7 +129,7 @@
                       },
                       [this](const KeyedRecord& aRecord) { OnConfiguration(aRecord); }),
                     mHooks.mNow)
-  , mEngineFollower(HeldReads(mOptions.mEngineWait, Duration::zero(), mOptions.mReaderPause),
+  , mEngineFollower(LongPollOptions(mOptions.mEngineWait, Duration::zero(), mOptions.mReaderPause),
                     mHooks.mEngineLog,
                     Events(
                       FollowedLog::kEngines,
@@ -144,11 +146,11 @@
   , mLease(LeaseOptionsOf(mOptions), CountedLease(), mHooks.mNow)
   , mCalls({}, { mHooks.mNow, mHooks.mOrder, mHooks.mAsk })
   , mProxies(ProxyChoiceOptionsOf(mOptions.mNode, mOptions.mDataCentre))
-  , mSightLooks(LooksHooks())
-  , mDoubts(DoubtsOptionsOf(mOptions), DoubtsHooks())
+  , mReachabilityProbes(ReachabilityHooks())
+  , mEngineSuspicions(SuspicionsOptionsOf(mOptions), SuspicionsHooks())
   , mPeers(mOptions.mNode, mOptions.mPeerSilence)
   , mFreshness(mOptions.mNode, mOptions.mIncarnation)
-  , mSuspects(SuspectOptionsOf(mOptions),
+  , mSuspects(QuarantineOptionsOf(mOptions),
               { mHooks.mNow,
                 [this](const std::string& aKey,
                        const std::string& aValue,
@@ -156,17 +158,17 @@
                   ++mCounters.mStoreCalls["nodes_put"];
                   mHooks.mPutNode(aKey, aValue, std::move(aDone));
                 },
-                [this](const proto::SuspectNews& aNews) {
+                [this](const proto::SuspectNews& aUpdate) {
                   proto::PeerMessage message = NewMessage();
-                  *message.mutable_suspects() = aNews;
+                  *message.mutable_suspects() = aUpdate;
                   SendToNeighbours(message);
                 },
                 mHooks.mLog })
   , mTree({ mOptions.mNode, mOptions.mDataCentre, mOptions.mCpuPermille })
-  , mConfigurationLook(mOptions.mLookAgainFirst, mOptions.mProbeMost)
-  , mEnginesLook(mOptions.mLookAgainFirst, mOptions.mProbeMost)
-  , mRateLeasesGiven(mOptions.mRateLeases)
-  , mRetryRightsGiven(mOptions.mRateLeases)
+  , mConfigurationBackoff(mOptions.mMinDirectReadPause, mOptions.mMaxOutageProbePause)
+  , mEnginesBackoff(mOptions.mMinDirectReadPause, mOptions.mMaxOutageProbePause)
+  , mGrantedRateLeases(mOptions.mRateLeases)
+  , mGrantedRetryLeases(mOptions.mRateLeases)
 {
 }
 
@@ -193,7 +195,7 @@
   const char* const name = NameOf(aLog);
   KeyedFollowerEvents events;
   events.mOnTail = [this, aLog](std::uint64_t aFrom, const KeyedTail& aTail) {
-    PassOn(aLog, aFrom, aTail);
+    ForwardRecords(aLog, aFrom, aTail);
   };
   events.mOnList = std::move(aOnList);
   events.mOnRecord = std::move(aOnRecord);
@@ -217,12 +219,12 @@
   ++mCounters.mStoreRestored;
   switch (aLog) {
     case FollowedLog::kConfiguration:
-      return; // a life of this process never goes back to an older version
+      return; // a running process never returns to an older version
     case FollowedLog::kEngines:
       mDirectory.OnStoreRestored(Now());
       return;
     case FollowedLog::kNodes:
-      mRecordWritten = false; // it may be gone, and nodes that start would not find this one
+      mRecordWritten = false; // it may be gone, and nodes that start would not learn of this one
       return;
   }
 }
@@ -239,7 +241,7 @@
     mHooks.mLog("configuration_refused", { { "error", ToString(configuration.error()) } });
     return;
   }
-  // One life of a process never goes back: an older version may come from a read that is behind.
+  // A running process never returns to an older version, which may come from an outdated read.
   if (mRoutes && configuration.value().mVersion <= mRoutes->Version()) {
     return;
   }
@@ -257,7 +259,7 @@
 Coordinator::Impl::Tick()
 {
   const TimePoint now = Now();
-  if (now >= mBeatDue) {
+  if (now >= mHeartbeatDue) {
     PutOwnRecord();
   }
   mTree.Tick(
@@ -265,20 +267,20 @@
   FollowLogs();
   const bool candidate = mTree.IsCandidate() && mNodeFollower.HasList();
   if (!mStopping && (candidate || mLease.LastIsMine())) {
-    // All nodes at once at a lease that has ended would be as many calls to the store, and again
-    // every few hundred milliseconds while it is down.
+    // If all nodes claimed an expired lease at once, that would be as many calls to the store,
+    // repeated every few hundred milliseconds while it is down.
     PreferStronger();
     mLease.Tick();
   }
   mDirectory.Tick(now);
   UpdateProxies();
   if (MayOrder()) {
-    ProbeWays();
-    mDoubts.Tick([this](const std::string& aEngine) { return FindEngine(aEngine); });
+    ProbePaths();
+    mEngineSuspicions.Tick([this](const std::string& aEngine) { return FindEngine(aEngine); });
   }
   PlanPools();
   mSuspects.Tick(mLease.Held());
-  if (now >= mBeatDue) {
+  if (now >= mHeartbeatDue) {
     SendBeat();
   }
   Publish();
@@ -289,13 +291,14 @@
 {
   const TimePoint now = Now();
   const bool weaker = mPeers.HasStronger(mOptions.mCpuPermille, now);
-  // Orders go through peers as well, only later; one that holds the lease keeps it.
-  const bool waits = weaker || (IsUnreached() && HearsReached());
-  mLease.SetStagger(StaggerOf(mOptions) + (waits ? mOptions.mWeakerWaits : Duration::zero()));
+  // A node without a direct path can send orders through peers, only slower, so it keeps a lease
+  // that it holds.
+  const bool waits = weaker || (IsUnreached() && HasReachingPeer());
+  mLease.SetStagger(StaggerOf(mOptions) + (waits ? mOptions.mWeakerNodeDelay : Duration::zero()));
   if (weaker && mLease.Held() && now >= mYieldDue) {
-    mYieldDue = now + mOptions.mYieldEvery;
+    mYieldDue = now + mOptions.mYieldInterval;
     mLease.Yield();
-    mBeatDue = now; // the others wait less once they know
+    mHeartbeatDue = now; // the others wait less once they know
     mHooks.mLog("lease_yielded", { { "cpu_permille", std::to_string(mOptions.mCpuPermille) } });
   }
 }
@@ -303,7 +306,7 @@
 bool
 Coordinator::Impl::IsReady() const
 {
-  return !mStopping && KnowsAll();
+  return !mStopping && HasFullState();
 }
 
 void
@@ -311,32 +314,32 @@
 {
   aPlan->mOthersInFlight = OthersInFlight();
   aPlan->mProxyPeers = mProxyPeers;
-  aPlan->mNews = { mNews.Fence(), mNews.Change(), mNews.AsOf() };
+  aPlan->mNews = { mUpdates.Fence(), mUpdates.Change(), mUpdates.AsOf() };
   aPlan->mConfigurationAsOf = ConfigurationAsOf();
   aPlan->mConfigurationTaken = mConfigurationTaken;
   aPlan->mKeysValidUntil = ConfigurationAsOf() + mOptions.mBounds.mKeysTrusted;
   aPlan->mMissesValidUntil = ConfigurationAsOf() + mOptions.mBounds.mMissesTrusted;
   aPlan->mSuspects = mSuspectRequests;
-  aPlan->mNodes = NodesAtWork();
+  aPlan->mNodes = LiveNodes();
   aPlan->mIsDesk = mTree.FollowsItself();
   aPlan->mDesks.clear();
-  const auto deskOf = [this](const std::string& aNode) {
+  const auto allocatorOf = [this](const std::string& aNode) {
     const KnownPeer* peer = mPeers.Find(aNode);
-    return DeskAddress{ aNode, peer == nullptr ? std::string() : peer->mDeskAddress };
+    return DeskAddress{ aNode, peer == nullptr ? std::string() : peer->mAllocatorAddress };
   };
   for (const auto& it : mTree.Delegates()) {
-    aPlan->mDesks.push_back(deskOf(it));
+    aPlan->mDesks.push_back(allocatorOf(it));
   }
   aPlan->mDesksOf.clear();
   for (const auto& [scope, delegates] : mTree.OtherDelegates()) {
     if (!delegates.empty()) {
-      aPlan->mDesksOf[scope] = deskOf(delegates.front());
+      aPlan->mDesksOf[scope] = allocatorOf(delegates.front());
     }
   }
-  aPlan->mListedNodes = std::max(NodesAtWork(), static_cast<int>(mPeers.Peers().size()) + 1);
+  aPlan->mListedNodes = std::max(LiveNodes(), static_cast<int>(mPeers.Peers().size()) + 1);
   aPlan->mRateLeases = mRateLeases.Current(Now());
   aPlan->mOthersLimits = OthersLimits();
-  aPlan->mRetryKeeper = RetryKeeper();
+  aPlan->mRetryKeeper = FindRetryBudgetOwner();
 }
 
 void
@@ -344,13 +347,13 @@
 {
   const TimePoint now = Now();
   const bool changed = mChanged || mDirectory.Revision() != mPublishedRevision;
-  const bool build = changed && now - mBuilt >= kBuildEvery;
-  const bool suspects = mSuspects.HeldRevision() != mPublishedHeld;
+  const bool build = changed && now - mLastBuild >= kBuildEvery;
+  const bool suspects = mSuspects.QuarantineRevision() != mPublishedQuarantine;
   if (!build && !suspects && mPlan && now < mPublishDue) {
     return;
   }
   PublishSuspects();
-  mPublishDue = now + (mTree.IsUpper() ? kPublishEvery : kFollowerPublishEvery);
+  mPublishDue = now + (mTree.IsInUpperTier() ? kPublishEvery : kFollowerPublishEvery);
   if (!build && mPlan) {
     auto plan = std::make_shared<TrafficPlan>(*mPlan);
     FillPlan(plan.get());
@@ -360,14 +363,14 @@
   }
   mChanged = false;
   mPublishedRevision = mDirectory.Revision();
-  mBuilt = now;
-  static const std::map<std::string, proto::ReplicaNews> kNoNews;
+  mLastBuild = now;
+  static const std::map<std::string, proto::ReplicaNews> kNoUpdates;
   PlanSources sources;
-  sources.mComplete = KnowsAll();
+  sources.mComplete = HasFullState();
   sources.mRoutes = mRoutes;
   sources.mEngines = &mDirectory.Engines();
-  sources.mNews = now - mNews.AsOf() < kNewsLife ? &mNews.Replicas() : &kNoNews;
-  sources.mLost = [this](const std::string& aEngine) { return mDoubts.IsLost(aEngine); };
+  sources.mUpdates = now - mUpdates.AsOf() < kUpdateLifetime ? &mUpdates.Replicas() : &kNoUpdates;
+  sources.mLost = [this](const std::string& aEngine) { return mEngineSuspicions.IsLost(aEngine); };
   auto plan = BuildPlan(sources);
   FillPlan(plan.get());
   mPlan = std::move(plan);
@@ -377,17 +380,17 @@
 void
 Coordinator::Impl::PublishSuspects()
 {
-  const CrashBook& book = mSuspects.Book();
-  mPublishedHeld = mSuspects.HeldRevision();
-  if (mSuspectRequests && book.Revision() == mPublishedSuspects) {
+  const CrashBook& crashes = mSuspects.Crashes();
+  mPublishedQuarantine = mSuspects.QuarantineRevision();
+  if (mSuspectRequests && crashes.Revision() == mPublishedSuspects) {
     return;
   }
-  mPublishedSuspects = book.Revision();
-  mSuspectRequests = std::make_shared<SuspectRequests>(book.Suspects());
+  mPublishedSuspects = crashes.Revision();
+  mSuspectRequests = std::make_shared<SuspectRequests>(crashes.Suspects());
 }
 
 std::uint64_t
-Coordinator::Impl::HeldRequests() const
+Coordinator::Impl::QuarantinedRequests() const
 {
   if (!mSuspectRequests) {
     return 0;
@@ -443,9 +446,9 @@
 }
 
 void
-Coordinator::OnRanWhole(const RequestKey& aRequest)
+Coordinator::OnRanToCompletion(const RequestKey& aRequest)
 {
-  mImpl->mSuspects.OnRanWhole(aRequest);
+  mImpl->mSuspects.OnRanToCompletion(aRequest);
 }
 
 bool
@@ -472,7 +475,7 @@
 {
   mImpl->mStopping = true;
   mImpl->mLease.Release();
-  mImpl->mBeatDue = mImpl->Now();
+  mImpl->mHeartbeatDue = mImpl->Now();
 }
 
 void
@@ -496,10 +499,10 @@
 const CoordinatorCounters&
 Coordinator::Counters() const
 {
-  mImpl->mCounters.mAsks = mImpl->mDoubts.Asked();
-  mImpl->mCounters.mUndecided = mImpl->mDoubts.Undecided();
-  mImpl->mCounters.mSuspectRequests = mImpl->mSuspects.Book().Size();
-  mImpl->mCounters.mHeldRequests = mImpl->HeldRequests();
+  mImpl->mCounters.mAsks = mImpl->mEngineSuspicions.Asked();
+  mImpl->mCounters.mUndecided = mImpl->mEngineSuspicions.Undecided();
+  mImpl->mCounters.mSuspectRequests = mImpl->mSuspects.Crashes().Size();
+  mImpl->mCounters.mQuarantinedRequests = mImpl->QuarantinedRequests();
   mImpl->mCounters.mBadSuspects = mImpl->mSuspects.BadRecords();
   return mImpl->mCounters;
 }
--- a/src/pepperbay/coordinator/coordinator_bounds.cpp
+++ b/src/pepperbay/coordinator/coordinator_bounds.cpp
@@ -5,22 +5,22 @@
 namespace pepperbay {
 namespace {
 
-/// From the check of a key to the engine, and the second in which a store that drops its history
-/// may tell held reads nothing.
+/// Time from the check of a key until the request is at the engine, and the second in which a store
+/// that drops its history may leave long polls unanswered.
 constexpr std::chrono::milliseconds kRevokeMargin{ 1200 };
-/// What is known through a reader that is well is up to this old; nodes that looked sooner would
-/// all read the store all the time.
-constexpr Duration kLeastLookAfter = std::chrono::milliseconds(1100);
-/// All nodes ask so often in an outage of the store.
-constexpr Duration kLeastLookAgain = std::chrono::milliseconds(400);
-constexpr double kLookPart = 0.6;
-constexpr double kEnginesLookPart = 0.8;
-constexpr double kLookAgainPart = 0.5;
+/// The age that information reaches through a working reader; with a lower threshold all nodes
+/// would read the store all the time.
+constexpr Duration kMinDirectReadAfter = std::chrono::milliseconds(1100);
+/// All nodes read this often during an outage of the store.
+constexpr Duration kMinDirectReadPause = std::chrono::milliseconds(400);
+constexpr double kDirectReadFraction = 0.6;
+constexpr double kEnginesDirectReadFraction = 0.8;
+constexpr double kDirectReadPauseFraction = 0.5;
 
 Duration
-PartOf(Duration aWhole, double aPart)
+FractionOf(Duration aWhole, double aFraction)
 {
-  return std::chrono::duration_cast<Duration>(aWhole * aPart);
+  return std::chrono::duration_cast<Duration>(aWhole * aFraction);
 }
 
 } // namespace
@@ -31,9 +31,12 @@
   CoordinatorBounds bounds;
   bounds.mKeysTrusted = aWithin.mRevocation - kRevokeMargin;
   bounds.mMissesTrusted = aWithin.mConfiguration;
-  bounds.mLookAfter = std::max(kLeastLookAfter, PartOf(aWithin.mConfiguration, kLookPart));
-  bounds.mEnginesLookAfter = std::max(kLeastLookAfter, PartOf(aWithin.mLeave, kEnginesLookPart));
-  bounds.mLookAgainMost = std::max(kLeastLookAgain, PartOf(aWithin.mConfiguration, kLookAgainPart));
+  bounds.mDirectReadAfter =
+    std::max(kMinDirectReadAfter, FractionOf(aWithin.mConfiguration, kDirectReadFraction));
+  bounds.mEnginesDirectReadAfter =
+    std::max(kMinDirectReadAfter, FractionOf(aWithin.mLeave, kEnginesDirectReadFraction));
+  bounds.mMaxDirectReadPause =
+    std::max(kMinDirectReadPause, FractionOf(aWithin.mConfiguration, kDirectReadPauseFraction));
   return bounds;
 }
 
--- a/src/pepperbay/coordinator/coordinator_dump.cpp
+++ b/src/pepperbay/coordinator/coordinator_dump.cpp
@@ -43,15 +43,14 @@
   }
   Json peers = Json::array();
   for (const auto& [name, it] : mPeers.Peers()) {
-    peers.push_back(
-      { { "node", name },
-        { "address", it.mAddress },
-        { "alive", mPeers.Alive(it, Now()) }, // heard; most nodes hear their delegates only
-        { "relies_on_this", it.mBeat.follows() },
-        { "configuration", it.mBeat.config_version() } });
+    peers.push_back({ { "node", name },
+                      { "address", it.mAddress },
+                      { "alive", mPeers.Alive(it, Now()) }, // most nodes only hear from delegates
+                      { "relies_on_this", it.mBeat.follows() },
+                      { "configuration", it.mBeat.config_version() } });
   }
   Json lost = Json::array();
-  for (const auto& [engine, since] : mDoubts.Lost()) {
+  for (const auto& [engine, since] : mEngineSuspicions.Lost()) {
     lost.push_back(engine);
   }
   Json logs = Json::object();
@@ -63,12 +62,12 @@
                           { "reads", mReads.Reads(log) } };
   }
   Json held = Json::array();
-  for (const auto& it : mSuspects.Book().Keys()) {
-    const TimePoint until = mSuspects.Book().HeldUntil(it);
+  for (const auto& it : mSuspects.Crashes().Keys()) {
+    const TimePoint until = mSuspects.Crashes().HeldUntil(it);
     if (until > Now()) {
       held.push_back({ { "key", ToString(it) },
-                       { "engines", mSuspects.Book().Ends(it).size() },
-                       { "score", mSuspects.Book().Charge(it) },
+                       { "engines", mSuspects.Crashes().Ends(it).size() },
+                       { "score", mSuspects.Crashes().Charge(it) },
                        { "for_ms", ToMs(until - Now()).count() } });
     }
   }
@@ -108,25 +107,25 @@
                           { "heard", mTree.Delegates() },
                           { "of_other_data_centres", mTree.OtherDelegates() },
                           { "candidate", mTree.IsCandidate() } } },
-                      { "nodes_at_work", NodesAtWork() },
+                      { "nodes_at_work", LiveNodes() },
                       { "news",
-                        { { "fence", mNews.Fence() },
-                          { "change", mNews.Change() },
-                          { "age_ms", ToMs(Now() - mNews.AsOf()).count() } } },
+                        { { "fence", mUpdates.Fence() },
+                          { "change", mUpdates.Change() },
+                          { "age_ms", ToMs(Now() - mUpdates.AsOf()).count() } } },
                       { "store_read_by",
                         { { "node", ReadsForItself() ? mOptions.mNode : mTree.Reader() },
                           { "lost", StoreLost() },
-                          { "looks", mCounters.mLooks } } },
+                          { "looks", mCounters.mDirectReads } } },
                       { "logs", logs },
                       { "engines", mDirectory.Engines().size() },
                       { "engines_reached",
                         { { "directly", !IsUnreached() },
                           { "through", proxies },
-                          { "undecided", mDoubts.Undecided() } } },
+                          { "undecided", mEngineSuspicions.Undecided() } } },
                       { "lost_engines", lost },
                       { "limits", limits },
                       { "counts_for", counts },
-                      { "suspect_requests", mSuspects.Book().Size() },
+                      { "suspect_requests", mSuspects.Crashes().Size() },
                       { "held_requests", held },
                       { "models", models },
                       { "replicas", replicas },
--- a/src/pepperbay/coordinator/coordinator_freshness_test.cpp
+++ b/src/pepperbay/coordinator/coordinator_freshness_test.cpp
@@ -1,5 +1,5 @@
 #include "coordinator_fixture.hpp"
-#include "freshness_book.hpp"
+#include "freshness_tracker.hpp"
 
 #include <pepperbay.pb.h>
 
@@ -81,7 +81,7 @@
 
 /// Symptom: requests go to an engine that has left, by a node that believes its registrations new.
 /// Sequence: a peer has read a record that has not come here and says that all it knows is new.
-TEST(FreshnessBook, AnAgeOfALogCountsOnlyForWhoHasAllThatItSpeaksOf)
+TEST(FreshnessTracker, AnAgeOfALogCountsOnlyForWhoHasAllThatItSpeaksOf)
 {
   const TimePoint asked{ seconds(100) };
   const TimePoint now = asked + milliseconds(30);
@@ -97,7 +97,7 @@
   answer->set_asked_at_ns(static_cast<std::uint64_t>(Duration(seconds(100)).count()));
   answer->set_held_ns(static_cast<std::uint64_t>(Duration(milliseconds(20)).count()));
 
-  FreshnessBook book("self", 3);
+  FreshnessTracker book("self", 3);
   book.OnBeat(message, 1, { 4, 8, 2 }, now);
   EXPECT_EQ(book.LogAsOf(FollowedLog::kConfiguration), asked + milliseconds(20 - 200));
   EXPECT_EQ(book.LogAsOf(FollowedLog::kEngines), TimePoint{}) << "one record is missing here";
@@ -109,19 +109,19 @@
 TEST(CoordinatorBoundsTest, FollowFromThePromises)
 {
   const CoordinatorBounds usual = BoundsOf(InForceWithin{});
-  EXPECT_EQ(usual.mLookAfter, milliseconds(1200));
-  EXPECT_EQ(usual.mEnginesLookAfter, milliseconds(1600));
-  EXPECT_EQ(usual.mLookAgainMost, seconds(1));
+  EXPECT_EQ(usual.mDirectReadAfter, milliseconds(1200));
+  EXPECT_EQ(usual.mEnginesDirectReadAfter, milliseconds(1600));
+  EXPECT_EQ(usual.mMaxDirectReadPause, seconds(1));
   EXPECT_EQ(usual.mMissesTrusted, seconds(2));
   for (const milliseconds within : { seconds(2), seconds(4), seconds(3600) }) {
     const CoordinatorBounds bounds = BoundsOf({ within, within, within });
-    EXPECT_LT(bounds.mLookAfter, within);
-    EXPECT_LT(bounds.mEnginesLookAfter, within);
-    EXPECT_LT(bounds.mLookAgainMost, within);
+    EXPECT_LT(bounds.mDirectReadAfter, within);
+    EXPECT_LT(bounds.mEnginesDirectReadAfter, within);
+    EXPECT_LT(bounds.mMaxDirectReadPause, within);
   }
   const CoordinatorBounds least = BoundsOf({ milliseconds(1), milliseconds(1), milliseconds(1) });
-  EXPECT_GE(least.mLookAfter, seconds(1));
-  EXPECT_GE(least.mLookAgainMost, milliseconds(400));
+  EXPECT_GE(least.mDirectReadAfter, seconds(1));
+  EXPECT_GE(least.mMaxDirectReadPause, milliseconds(400));
 }
 
 } // namespace
--- a/src/pepperbay/coordinator/coordinator_impl.hpp
+++ b/src/pepperbay/coordinator/coordinator_impl.hpp
@@ -1,34 +1,34 @@
 /// @file
-/// @brief The state of a coordinator; its parts are in files by what they do.
+/// @brief The state of a coordinator; its member functions are in files by topic.
 #pragma once
 
+#include "direct_read_backoff.hpp"
 #include "engine_calls.hpp"
-#include "engine_doubts.hpp"
-#include "freshness_book.hpp"
+#include "engine_suspicions.hpp"
+#include "freshness_tracker.hpp"
 #include "log_reads.hpp"
-#include "look_pause.hpp"
-#include "news_book.hpp"
 #include "node_tree.hpp"
-#include "peer_book.hpp"
+#include "peer_table.hpp"
 #include "pepperbay/coordinator/coordinator.hpp"
 #include "plan_builder.hpp"
+#include "quarantine_manager.hpp"
+#include "reachability_probes.hpp"
 #include "round_pace.hpp"
-#include "sight_looks.hpp"
-#include "suspect_keeper.hpp"
+#include "update_tracker.hpp"
 
 namespace pepperbay {
 
-/// @return the name of a log in lines and dumps.
+/// @return the name of a log in log lines and dumps.
 const char*
 NameOf(FollowedLog aLog);
 
 /// Why a node makes a call to one of the store's logs that it follows.
 enum class StoreCallReason
 {
-  kReader, ///< it reads for others, or nobody reads for it
+  kReader, ///< it reads for others, or no other node reads for it
   kHolder, ///< it holds the lease and needs registrations at once
-  kMissed, ///< records that its reader has told of have not come
-  kDoubt,  ///< what it is told is too old, or the store has to show that it is back
+  kMissed, ///< records that its reader has announced have not arrived
+  kStale,  ///< forwarded records are too old, or the call probes whether the store is back
   kList,   ///< a page of the list
 };
 
@@ -46,7 +46,7 @@
   void OnEngineList(const std::vector<KeyedRecord>& aRecords);
   void TakeEngine(EngineRecord aEngine);
   void OnReport(const EngineRecord& aEngine, const EngineReport& aReport);
-  /// A log has come back from an older copy; its list is read again.
+  /// Handles a log that was restored from an older copy; its list is read again.
   void OnStoreRestored(FollowedLog aLog);
   void OnNode(const KeyedRecord& aRecord);
   void OnNodeList(const std::vector<KeyedRecord>& aRecords);
@@ -54,153 +54,154 @@
   void OnMessage(const std::string& aBytes);
   void OnBeat(const proto::PeerMessage& aMessage);
   void SendBeat();
-  /// What is the same for all who get this heartbeat.
+  /// Builds the part of a heartbeat that is the same for all recipients.
   proto::Beat MakeBeat();
   void AddLoads(proto::Beat* aBeat);
   /// @return the limits of engines whose requests this node counts.
   EngineLimits CountedLimits();
-  /// Data centres whose engines with a limit this node should count requests for.
+  /// @return data centres with rate-limited engines whose requests this node should count.
   std::vector<std::string> WantedRateLeases();
-  /// Ask for the right to count, where this node needs it.
+  /// Requests the rate leases that this node needs.
   void AskRateLeases(proto::Beat* aBeat);
-  /// As the holder of the lease, answer who asks.
+  /// As the lease holder, answers requests for rate leases.
   void OnRateLeasesAsked(const proto::PeerMessage& aMessage);
-  void OnRateLeases(const proto::RateLeases& aGiven);
-  /// The holder of the lease needs no message to itself.
-  void GiveOwnRateLeases();
-  /// The holder of the lease keeps the budget of second attempts.
-  void RenewRetryRight();
-  /// @return who keeps it, as far as this node knows.
-  RetryKeeperPlan RetryKeeper();
-  /// @return limits that nodes tell who count the requests of other data centres' engines.
+  void OnRateLeases(const proto::RateLeases& aGranted);
+  /// Grants the lease holder its own rate leases, without a message.
+  void GrantOwnRateLeases();
+  /// Renews the retry lease, which the lease holder grants to itself.
+  void RenewRetryLease();
+  /// @return the owner of the retry budget, as far as this node knows.
+  RetryKeeperPlan FindRetryBudgetOwner();
+  /// @return limits reported by the nodes that count the requests to other data centres' engines.
   EngineLimits OthersLimits() const;
-  /// @return these, and those that this node has been told itself.
+  /// @return these, and the limits that engines have reported to this node.
   EngineLimits AllLimits() const;
-  /// @return whether a node needs to know how many requests this one has found places for.
+  /// @return whether a node needs the counts of requests that this one has assigned slots to.
   bool WantsLoads(const std::string& aNode) const;
-  /// A message that names this node, without a body.
+  /// @return a message that names this node, without a body.
   proto::PeerMessage NewMessage() const;
   void SendTo(const std::string& aNode, const std::string& aBytes);
   /// Nodes that this one exchanges heartbeats with, by its own choice or theirs.
   std::set<std::string> Neighbours() const;
   void SendToNeighbours(const proto::PeerMessage& aMessage);
-  /// Nodes that rely on this one, itself included where it does.
+  /// Number of nodes that follow this one, including itself if it does.
   int Followers() const;
-  /// Nodes before this pool, as far as known; more rather than fewer.
-  int NodesAtWork() const;
-  /// Tell the holder of the lease what this node's streams and requests show of heads.
-  void TellHolder(const proto::Suspicions& aSuspicions);
+  /// Live nodes in front of this pool, as far as known; rather too many than too few.
+  int LiveNodes() const;
+  /// Reports to the lease holder what this node's streams and requests show of heads.
+  void NotifyHolder(const proto::Suspicions& aSuspicions);
   void OnSuspicions(const proto::Suspicions& aSuspicions);
-  /// Ask a node for the news of replicas that are missing here.
-  void AskNews(const std::string& aNode);
-  void AnswerNewsRequest(const proto::PeerMessage& aMessage);
-  /// Take news of the holder and pass them on to the nodes that rely on this one.
-  void OnNews(const proto::PeerMessage& aMessage);
-  /// The holder's own changes, to the delegates.
-  void TellNewsChanges();
-  /// @return when the configuration was the newest, by the store or by a peer.
+  /// Requests replica updates that are missing here from a node.
+  void RequestUpdates(const std::string& aNode);
+  void AnswerUpdateRequest(const proto::PeerMessage& aMessage);
+  /// Applies updates of the lease holder and forwards them to the nodes that rely on this one.
+  void OnUpdates(const proto::PeerMessage& aMessage);
+  /// As the lease holder, sends its new updates to the delegates.
+  void SendUpdates();
+  /// @return when the configuration here was the newest, according to the store or a peer.
   TimePoint ConfigurationAsOf() const;
-  /// @return when all that was in a log was known, by the store or by a peer.
+  /// @return when all records of a log were known here, according to the store or a peer.
   TimePoint LogAsOf(FollowedLog aLog);
   LogOffsets OwnOffsets() const;
   std::uint64_t ConfigurationVersion() const { return mRoutes ? mRoutes->Version() : 0; }
-  /// @return whether peers are asked: another reads, or the store has been silent for longer than a
-  /// held read takes.
+  /// @return whether to ask peers for freshness: another node reads, or the store has been silent
+  /// for longer than a long poll takes.
   bool AsksFreshness() const;
-  /// Give a peer that asks and has an older configuration the one in force here.
-  void PassConfiguration(const std::string& aAsker, const proto::Beat& aBeat);
+  /// Sends a peer that asks and has an older configuration the one in force here.
+  void ForwardConfiguration(const std::string& aAsker, const proto::Beat& aBeat);
   /// The directory's engines by the lower half of the hash of their ids.
   const std::unordered_map<std::uint32_t, std::string>& ShortIds();
   /// @return a listed engine, or a member of a replica, by the short hash of its id; empty for none
   std::string EngineOf(std::uint32_t aShortId);
   void OnSuspect(const std::string& aHead, Duration aSilence);
   void OnRefused(const std::string& aHead);
-  /// A node's streams at a head stand still.
-  /// @param aSince when nothing has come of it
+  /// Handles a report that a node's streams at a head have stalled.
+  /// @param aSince time of the last event of the streams
   void OnSilentHead(const std::string& aHead, TimePoint aSince);
   void AskMembers(const std::string& aHead, std::optional<TimePoint> aSilentSince);
   /// @return a registered engine, or a member of a replica whose registration has lapsed.
   const EngineRecord* FindEngine(const std::string& aEngine) const;
   void OnEngineChange(const EngineRecord& aEngine, const EngineVerdict& aVerdict);
   void LogVerdict(const EngineRecord& aEngine, const EngineVerdict& aVerdict);
-  // Ways to engines; see coordinator_reach.cpp.
-  EngineDoubtsHooks DoubtsHooks();
+  // Paths to engines; see coordinator_reach.cpp.
+  EngineSuspicionsHooks SuspicionsHooks();
   void SetReach(bool aReaches);
   /// @return whether this node's own connections are known not to reach the engines.
-  bool IsUnreached() const { return mTrafficUnreached || mWays.Avoids(); }
-  /// @return whether a peer is heard that reaches engines.
-  bool HearsReached() const;
-  /// How a call goes to an engine.
+  bool IsUnreached() const { return mTrafficUnreached || mPaths.Avoids(); }
+  /// @return whether a live peer reaches engines.
+  bool HasReachingPeer() const;
+  /// @return the options of a call to an engine: directly or through a peer.
   EngineCallOptions CallOptions(const std::string& aEngine,
                                 const std::string& aDataCentre,
                                 Duration aTimeout);
-  SightLooksHooks LooksHooks();
-  /// @return an engine that is well as far as is known, of another domain where there is one; null
-  /// for none.
-  const EngineRecord* PickForSight(const EngineRecord& aNotThis);
-  /// Try whether own connections reach engines again.
-  void ProbeWays();
-  /// Ask an engine directly, only to see whether this node reaches it.
-  void AskForSight(const EngineRecord& aEngine, std::function<void(bool aAnswered)> aDone);
-  /// Note what a question through a peer says of the peer.
-  void NoteProxy(const EngineCallOptions& aOptions, bool aHeard);
-  /// Put the peers together that may be asked, where anything has changed.
+  ReachabilityProbesHooks ReachabilityHooks();
+  /// @return an engine that is healthy as far as is known, of another domain if possible; null:
+  /// none.
+  const EngineRecord* PickProbeTarget(const EngineRecord& aNotThis);
+  /// Probes whether direct connections reach engines again.
+  void ProbePaths();
+  /// Sends a direct status request, only to check whether this node reaches the engine.
+  void ProbeReachability(const EngineRecord& aEngine, std::function<void(bool aAnswered)> aDone);
+  /// Records whether a call through a peer worked.
+  void NoteProxy(const EngineCallOptions& aOptions, bool aAnswered);
+  /// Updates the peers that may be used for tunnels, if anything has changed.
   void UpdateProxies();
   void NoteUnreached(const proto::Beat& aBeat);
-  /// Tell nodes that do not hear them which others reach no engine.
+  /// Adds the nodes that reach no engine, for recipients without contact to these.
   void AddUnreached(bool aToFollower, proto::Beat* aBeat);
   void PlanPools();
   void PlanPool(const ServiceSpec& aService);
   void LogComposition(const std::vector<CompositionChange>& aChanges);
-  /// Requests of all nodes at the head that the last holder named for a group; see GroupView.
+  /// @return requests of all nodes in flight at the head that the former holder named; see
+  /// GroupView.
   int InFlightAtFormerHead(const std::string& aGroup, std::uint64_t aEpoch) const;
   void SendOrder(const GroupOrder& aOrder, const std::string& aService);
-  /// Note for the other nodes what has changed of one pool's replicas.
-  void NoteNews(const GroupPlanner& aPlanner, Duration aFormTime);
-  /// Drop what is known of replicas that no pool has any more.
-  void ForgetNews();
-  void AskAsPlanned(const GroupPlanner& aPlanner);
+  /// Records changes of one pool's replicas as updates for the other nodes.
+  void RecordUpdates(const GroupPlanner& aPlanner, Duration aFormTime);
+  /// Drops replicas that no pool has any more.
+  void DropRemovedReplicas();
+  void QueryPlannedEngines(const GroupPlanner& aPlanner);
   void Publish();
-  /// Make what traffic knows of suspect requests anew where the book has changed.
+  /// Rebuilds the suspect requests of the plan if the tracker has changed.
   void PublishSuspects();
-  /// @return how many requests are held back now.
-  std::uint64_t HeldRequests() const;
-  /// The parts of a plan that change without the replicas.
+  /// @return how many requests are quarantined now.
+  std::uint64_t QuarantinedRequests() const;
+  /// Fills the parts of a plan that change independently of the replicas.
   void FillPlan(TrafficPlan* aPlan);
   bool MayOrder() const;
-  /// Leave the lease to nodes that have the processor for it.
+  /// Leaves the lease to nodes with more CPU or with a direct path to engines.
   void PreferStronger();
   bool IsReady() const;
   /// @return whether configuration and registrations have both been read once.
-  bool KnowsAll() const { return mRoutes && mEngineFollower.HasList(); }
+  bool HasFullState() const { return mRoutes && mEngineFollower.HasList(); }
   std::unordered_map<std::string, int> OthersInFlight() const;
-  /// Log who reads the store for this node when that changes.
+  /// Logs which node reads the store for this one, on a change.
   void LogReader();
-  /// Follow the logs: from the store, or by what the delegate passes on.
+  /// Follows the logs: by reads of the store, or by records that another node forwards.
   void FollowLogs();
   /// @return whether no other node reads the store for this one.
   bool ReadsForItself() const;
   void NoteStore();
-  /// @return whether to read a log now though another node reads it for this one: what is known by
-  /// that node is too old, or the store has to show that it answers again.
-  bool LooksAtConfiguration();
-  bool LooksAtEngines();
-  void LogLook(FollowedLog aLog, Duration aAge);
-  /// Make the call to a log that is due there, if it may be made.
+  /// @return whether to read a log directly although another node reads it for this one: the
+  /// forwarded records are too old, or the call probes whether the store is back.
+  bool ReadsConfigurationDirectly();
+  bool ReadsEnginesDirectly();
+  void LogDirectRead(FollowedLog aLog, Duration aAge);
+  /// Makes the call to a log that is due, if it may be made.
   void Ask(FollowedLog aLog, StoreCallReason aReason);
   StoreCallReason ReasonToRead() const;
-  /// The hooks of the lease's log, with their calls counted.
+  /// @return the hooks of the lease's log, with their calls counted.
   LogLeaseHooks CountedLease();
   /// @return whether calls to the store's logs have failed for a while.
   bool StoreLost() const;
-  /// Nodes that go by what this one passes on.
+  /// Nodes that rely on the records that this one forwards.
   std::vector<std::string> Dependants() const;
   KeyedFollower& FollowerOf(FollowedLog aLog);
-  /// Pass on what was read for other nodes.
-  void PassOn(FollowedLog aLog, std::uint64_t aFrom, const KeyedTail& aTail);
-  /// One message of what was read; one that fits into no datagram is left out.
+  /// Forwards records to nodes that rely on this one.
+  void ForwardRecords(FollowedLog aLog, std::uint64_t aFrom, const KeyedTail& aTail);
+  /// Sends one message of records; one that does not fit into a datagram is left out.
   void SendFeed(const proto::PeerMessage& aMessage);
-  void TakeFeed(const proto::LogFeed& aFeed);
+  void ApplyFeed(const proto::LogFeed& aFeed);
   KeyedFollowerEvents Events(FollowedLog aLog,
                              std::function<void(const std::vector<KeyedRecord>&)> aOnList,
                              std::function<void(const KeyedRecord&)> aOnRecord);
@@ -214,68 +215,70 @@
   KeyedFollower mNodeFollower;
   LogLease mLease;
   EngineDirectory mDirectory;
-  /// Keys of registrations that name no engine, with the reason that was logged; an entry that is
-  /// written again and again gives one line.
+  /// Keys of registrations that could not be decoded, with the logged reason; a key that is
+  /// rewritten again and again is logged once per reason.
   std::map<std::string, std::string> mRefusedEntries;
   EngineCalls mCalls;
-  WayBook mWays; ///< of orders and questions
+  WayBook mPaths; ///< of orders and status requests
   ProxyChoice mProxies;
   std::shared_ptr<const ProxyPeers> mProxyPeers;
-  std::size_t mProxiesOf = 0;     ///< what they were put together from
+  std::size_t mProxiesOf = 0;     ///< hash of the inputs that mProxyPeers was built from
   bool mTrafficUnreached = false; ///< connections for requests do not reach the engines
-  bool mToldUnreached = false;
-  SightLooks mSightLooks;
-  std::size_t mLooks = 0;
-  EngineDoubts mDoubts;
-  PeerBook mPeers;
-  FreshnessBook mFreshness;
-  SuspectKeeper mSuspects;
+  bool mReportedUnreached = false;
+  ReachabilityProbes mReachabilityProbes;
+  std::size_t mNextProbe = 0;
+  EngineSuspicions mEngineSuspicions;
+  PeerTable mPeers;
+  FreshnessTracker mFreshness;
+  QuarantineManager mSuspects;
   NodeTree mTree;
   LogReads mReads;
   std::optional<TimePoint> mStoreLostSince;
-  bool mToldStoreLost = false; ///< what the last heartbeats said
-  std::string mToldReader;     ///< the last that was logged
-  LookPause mConfigurationLook;
-  LookPause mEnginesLook;
+  bool mReportedStoreLost = false; ///< as reported in the last heartbeats
+  std::string mLoggedReader;       ///< the last reader that was logged
+  DirectReadBackoff mConfigurationBackoff;
+  DirectReadBackoff mEnginesBackoff;
   std::shared_ptr<const RouteTable> mRoutes;
-  std::string mConfiguration;      ///< that mRoutes was made from, as the operator wrote it
-  TimePoint mConfigurationTaken{}; ///< when this node took it in
+  std::string mConfiguration; ///< the text that mRoutes was built from, as the operator wrote it
+  TimePoint mConfigurationTaken{};               ///< when this node received it
   std::map<std::string, GroupPlanner> mPlanners; ///< by service
   RoundPace mPlanPace;
-  NewsBook mNews;
-  /// What the last holder told of its replicas, until this one has planned once: its first round
-  /// finds most of them as they were, and logs only what differs.
-  std::map<std::string, proto::ReplicaNews> mFormerNews;
-  /// The same, for the whole tenure: heads that are listed no more are named here only.
+  UpdateTracker mUpdates;
+  /// The former holder's updates, until this one has planned once: its first round finds most
+  /// replicas unchanged, and logs only differences.
+  std::map<std::string, proto::ReplicaNews> mFormerUpdates;
+  /// The same, for the whole term: only these name heads that are no longer registered.
   std::map<std::string, proto::ReplicaNews> mFormerHeads;
-  std::uint64_t mNewsTold = 0; ///< the last change that was sent out
-  TimePoint mNewsAskDue{};
+  std::uint64_t mLastSentChange = 0; ///< the last change that was sent
+  TimePoint mUpdateRequestDue{};
   std::unordered_map<std::string, int> mInFlight;
-  EngineLimits mLimits; ///< as this node has been told
-  RateLeaseBook mRateLeasesGiven;
-  RateLeaseHold mRateLeases;
-  RateLeaseBook mRetryRightsGiven; ///< to this node itself, while it holds the lease
-  RateLeaseHold mRetryRights;
+  EngineLimits mLimits; ///< as reported to this node
+  RateLeaseTable mGrantedRateLeases;
+  HeldRateLeases mRateLeases;
+  RateLeaseTable mGrantedRetryLeases; ///< granted to this node itself, while it holds the lease
+  HeldRateLeases mRetryLeases;
   std::map<std::string, proto::RateLeases> mRateLeaseAnswers; ///< to be sent, by node
-  std::map<std::string, TimePoint> mSilentHeads; ///< heads whose streams stand still, as last told
-  std::map<std::string, TimePoint> mHeadsAsked;  ///< heads whose members were just asked
+  /// Heads whose streams have stalled, when last reported.
+  std::map<std::string, TimePoint> mSilentHeads;
+  std::map<std::string, TimePoint> mHeadsAsked; ///< heads whose members were just probed
   std::unordered_map<std::uint32_t, std::string> mShortIds; ///< of the directory's engines
-  std::uint64_t mShortIdsOf = 0;                            ///< revision that they are of
+  std::uint64_t mShortIdsOf = 0; ///< revision of the directory that they were built from
   std::uint64_t mPlannedFence = 0;
   std::uint64_t mPublishedRevision = 0;
-  std::uint64_t mPublishedSuspects = 0; ///< revision of the book that the plan goes by
-  std::uint64_t mPublishedHeld = 0;     ///< the same for what is held back, which is told at once
-  std::shared_ptr<const SuspectRequests> mSuspectRequests; ///< as the plan has them
-  std::shared_ptr<const TrafficPlan> mPlan;                ///< the last that was published
+  std::uint64_t mPublishedSuspects = 0; ///< revision of the tracker that the plan was built from
+  /// The same for quarantined requests, which are published at once.
+  std::uint64_t mPublishedQuarantine = 0;
+  std::shared_ptr<const SuspectRequests> mSuspectRequests; ///< as in the plan
+  std::shared_ptr<const TrafficPlan> mPlan;                ///< the last published plan
   bool mChanged = true;
   bool mTraffic = false;
   bool mStopping = false;
   bool mRecordWritten = false;
-  bool mRecordOnItsWay = false;
-  TimePoint mBeatDue{};
+  bool mRecordPending = false;
+  TimePoint mHeartbeatDue{};
   TimePoint mYieldDue{};
   TimePoint mPublishDue{};
-  TimePoint mBuilt{}; ///< when the replicas were last put together
+  TimePoint mLastBuild{}; ///< when the replicas were last built
   TimePoint mEngineReadDue{};
 };
 
--- a/src/pepperbay/coordinator/coordinator_peers.cpp
+++ b/src/pepperbay/coordinator/coordinator_peers.cpp
@@ -6,15 +6,15 @@
 
 namespace pepperbay {
 namespace {
-/// A configuration travels in one datagram, which holds 65,507 bytes with its headers.
-constexpr std::size_t kMostPassedBytes = 60000;
-/// A node that has an older configuration gets it passed on once the feed of its delegate has had
-/// time to come, a heartbeat and a round; from others that it asks only after a few heartbeats
-/// more.
-constexpr std::chrono::milliseconds kFeedTime{ 180 };
-constexpr std::chrono::milliseconds kPassersTime{ 600 };
-/// News that were missed are asked for at most this often: half a heartbeat.
-constexpr std::chrono::milliseconds kAskNewsEvery{ 100 };
+/// A configuration is sent in one datagram, which holds 65,507 bytes with its headers.
+constexpr std::size_t kMaxForwardedBytes = 60000;
+/// A node with an older configuration is sent the newer one once the records that its delegate
+/// forwards have had time to arrive, a heartbeat and a round; nodes that it asks but does not
+/// follow wait a few heartbeats more.
+constexpr std::chrono::milliseconds kFeedDelay{ 180 };
+constexpr std::chrono::milliseconds kForwardDelay{ 600 };
+/// Shortest time between two requests for missed updates: half a heartbeat.
+constexpr std::chrono::milliseconds kUpdateRequestInterval{ 100 };
 
 std::uint64_t
 ToNs(Duration aDuration)
@@ -26,7 +26,7 @@
 void
 Coordinator::Impl::OnNode(const KeyedRecord& aRecord)
 {
-  if (SuspectKeeper::IsRecord(aRecord.mKey)) {
+  if (QuarantineManager::IsRecord(aRecord.mKey)) {
     mSuspects.OnRecord(aRecord.mKey, aRecord.mValue);
     return;
   }
@@ -52,22 +52,22 @@
 void
 Coordinator::Impl::PutOwnRecord()
 {
-  if (mRecordWritten || mRecordOnItsWay) {
+  if (mRecordWritten || mRecordPending) {
     return;
   }
-  mRecordOnItsWay = true;
+  mRecordPending = true;
   ++mCounters.mStoreCalls["nodes_put"];
   proto::NodeRecord record;
   record.set_node(mOptions.mNode);
   record.set_incarnation(mOptions.mIncarnation);
   record.set_address(mOptions.mAddress);
-  record.set_desk_address(mOptions.mDeskAddress);
+  record.set_desk_address(mOptions.mAllocatorAddress);
   record.set_tunnel_address(mOptions.mTunnelAddress);
   record.set_tunnel_key(mOptions.mTunnelKey);
   record.set_data_centre(mOptions.mDataCentre);
   record.set_cpu_permille(static_cast<std::uint32_t>(mOptions.mCpuPermille));
   mHooks.mPutNode(mOptions.mNode, record.SerializeAsString(), [this](const Result<void>& aResult) {
-    mRecordOnItsWay = false;
+    mRecordPending = false;
     mRecordWritten = aResult.has_value();
   });
 }
@@ -97,8 +97,8 @@
   for (const auto& [id, engine] : mDirectory.Engines()) {
     add(id);
   }
-  // A head whose registration is gone works on; without a count of its requests it would pass for
-  // idle, and its replica be formed anew under them.
+  // A head whose registration has lapsed goes on working; without a count of its requests it would
+  // seem idle, and its replica would be re-formed under them.
   for (const auto& [service, planner] : mPlanners) {
     for (const auto& [id, engine] : planner.Members()) {
       add(id);
@@ -116,20 +116,20 @@
     return;
   }
   if (!mPeers.IsCurrent(message)) {
-    return; // of an earlier start, or the store has not named the node yet
+    return; // of a stale incarnation, or the store has not listed the node yet
   }
   switch (message.body_case()) {
     case proto::PeerMessage::kBeat:
       OnBeat(message);
       return;
     case proto::PeerMessage::kNews:
-      OnNews(message);
+      OnUpdates(message);
       return;
     case proto::PeerMessage::kNewsRequest:
-      AnswerNewsRequest(message);
+      AnswerUpdateRequest(message);
       return;
     case proto::PeerMessage::kFeed:
-      TakeFeed(message.feed());
+      ApplyFeed(message.feed());
       return;
     case proto::PeerMessage::kConfiguration:
       OnConfiguration({ mHooks.mConfigKey, message.configuration() });
@@ -138,11 +138,11 @@
       OnSuspicions(message.suspicions());
       return;
     case proto::PeerMessage::kSuspects:
-      // Whoever told it has told its delegates; they tell the nodes that rely on them.
-      mSuspects.OnNews(message.suspects(), mTree.IsUpper());
+      // The sender has sent it to its delegates; they forward it to the nodes that rely on them.
+      mSuspects.OnUpdate(message.suspects(), mTree.IsInUpperTier());
       return;
     case proto::PeerMessage::BODY_NOT_SET:
-      ++mCounters.mBadMessages; // of a newer version
+      ++mCounters.mBadMessages; // sent by a newer software version
       return;
   }
 }
@@ -154,61 +154,61 @@
   const proto::Beat& beat = aMessage.beat();
   mPeers.OnBeat(aMessage.node(), beat, now);
   mFreshness.OnBeat(aMessage, ConfigurationVersion(), OwnOffsets(), now);
-  PassConfiguration(aMessage.node(), beat);
+  ForwardConfiguration(aMessage.node(), beat);
   NoteUnreached(beat);
   ++mCounters.mBeats;
   mTraffic = mTraffic || beat.traffic();
   mLease.OnHint(beat.lease());
   OnRateLeasesAsked(aMessage);
   OnRateLeases(beat.rate_leases());
-  if (mNews.OnNewest(beat, now) && !MayOrder()) {
-    AskNews(aMessage.node());
+  if (mUpdates.OnNewest(beat, now) && !MayOrder()) {
+    RequestUpdates(aMessage.node());
   }
 }
 
 void
-Coordinator::Impl::AskNews(const std::string& aNode)
+Coordinator::Impl::RequestUpdates(const std::string& aNode)
 {
   const TimePoint now = Now();
-  if (now < mNewsAskDue) {
+  if (now < mUpdateRequestDue) {
     return;
   }
-  mNewsAskDue = now + kAskNewsEvery;
+  mUpdateRequestDue = now + kUpdateRequestInterval;
   proto::PeerMessage message = NewMessage();
-  message.mutable_news_request()->set_fence(mNews.Fence());
-  message.mutable_news_request()->set_after(mNews.Change());
+  message.mutable_news_request()->set_fence(mUpdates.Fence());
+  message.mutable_news_request()->set_after(mUpdates.Change());
   SendTo(aNode, message.SerializeAsString());
 }
 
 void
-Coordinator::Impl::AnswerNewsRequest(const proto::PeerMessage& aMessage)
+Coordinator::Impl::AnswerUpdateRequest(const proto::PeerMessage& aMessage)
 {
   const auto& request = aMessage.news_request();
   proto::PeerMessage message = NewMessage();
-  *message.mutable_news() = mNews.Since(request.fence(), request.after(), Now());
+  *message.mutable_news() = mUpdates.Since(request.fence(), request.after(), Now());
   SendTo(aMessage.node(), message.SerializeAsString());
 }
 
 void
-Coordinator::Impl::OnNews(const proto::PeerMessage& aMessage)
+Coordinator::Impl::OnUpdates(const proto::PeerMessage& aMessage)
 {
   const TimePoint now = Now();
   if (MayOrder()) {
-    return; // of a holder that has been replaced, or this one learns of its successor by the lease
+    return; // of a former holder, or of a successor that this node will learn of through the lease
   }
-  switch (mNews.Take(aMessage.news(), now)) {
-    case NewsBook::Taken::kNothing:
+  switch (mUpdates.ApplyChanges(aMessage.news(), now)) {
+    case UpdateTracker::ApplyOutcome::kStale:
       return;
-    case NewsBook::Taken::kMissing:
-      AskNews(aMessage.node());
+    case UpdateTracker::ApplyOutcome::kGap:
+      RequestUpdates(aMessage.node());
       return;
-    case NewsBook::Taken::kChanged:
+    case UpdateTracker::ApplyOutcome::kApplied:
       break;
   }
   mChanged = true;
   proto::PeerMessage message = NewMessage();
   *message.mutable_news() = aMessage.news();
-  message.mutable_news()->set_age_ns(ToNs(now - mNews.AsOf()));
+  message.mutable_news()->set_age_ns(ToNs(now - mUpdates.AsOf()));
   const std::string bytes = message.SerializeAsString();
   for (const auto& it : mPeers.Correspondents(now)) {
     if (it != aMessage.node() && mPeers.Find(it)->mBeat.follows()) {
@@ -218,16 +218,16 @@
 }
 
 void
-Coordinator::Impl::TellNewsChanges()
+Coordinator::Impl::SendUpdates()
 {
   const TimePoint now = Now();
-  mNews.Confirm(now);
-  if (mNews.Change() == mNewsTold) {
+  mUpdates.Confirm(now);
+  if (mUpdates.Change() == mLastSentChange) {
     return;
   }
   proto::PeerMessage message = NewMessage();
-  *message.mutable_news() = mNews.Since(mNews.Fence(), mNewsTold, now);
-  mNewsTold = message.news().to();
+  *message.mutable_news() = mUpdates.Since(mUpdates.Fence(), mLastSentChange, now);
+  mLastSentChange = message.news().to();
   SendToNeighbours(message);
 }
 
@@ -263,21 +263,21 @@
 bool
 Coordinator::Impl::AsksFreshness() const
 {
-  // What another node reads for this one is only as new as its word. A read of its own that is held
-  // to its end tells twice in this time that nothing is new.
+  // Records that another node reads for this one are only as recent as its answers. A long poll of
+  // its own shows twice in this time that there is nothing new.
   return !ReadsForItself() ||
-         Now() - mConfigFollower.AsOf() > mOptions.mConfigWait + mOptions.mBeat;
+         Now() - mConfigFollower.AsOf() > mOptions.mConfigWait + mOptions.mHeartbeatInterval;
 }
 
 void
-Coordinator::Impl::PassConfiguration(const std::string& aAsker, const proto::Beat& aBeat)
+Coordinator::Impl::ForwardConfiguration(const std::string& aAsker, const proto::Beat& aBeat)
 {
   const bool behind = aBeat.config_version() < ConfigurationVersion();
   const Duration since = mPeers.NoteBehind(aAsker, behind, Now());
-  if (!behind || aBeat.asks_freshness_at_ns() == 0 || mConfiguration.size() > kMostPassedBytes) {
+  if (!behind || aBeat.asks_freshness_at_ns() == 0 || mConfiguration.size() > kMaxForwardedBytes) {
     return;
   }
-  if (since < (aBeat.follows() ? kFeedTime : kPassersTime)) {
+  if (since < (aBeat.follows() ? kFeedDelay : kForwardDelay)) {
     return;
   }
   proto::PeerMessage message = NewMessage();
@@ -336,10 +336,10 @@
 }
 
 void
-Coordinator::Impl::TellHolder(const proto::Suspicions& aSuspicions)
+Coordinator::Impl::NotifyHolder(const proto::Suspicions& aSuspicions)
 {
-  // Nobody else acts on a suspicion. It is told again while it lasts, so that whoever has just
-  // taken the lease hears of it as well.
+  // Only the holder acts on a suspicion. It is sent again while it lasts, so that a node that has
+  // just taken the lease receives it as well.
   proto::PeerMessage message = NewMessage();
   *message.mutable_suspicions() = aSuspicions;
   SendTo(mLease.Newest().holder(), message.SerializeAsString());
@@ -373,27 +373,27 @@
 }
 
 int
-Coordinator::Impl::NodesAtWork() const
+Coordinator::Impl::LiveNodes() const
 {
   const TimePoint now = Now();
   int n = 0;
   const KnownPeer* followed = mPeers.Find(mTree.Followed());
   if (followed != nullptr) {
     n = static_cast<int>(followed->mBeat.nodes());
-  } else if (mTree.IsUpper()) {
+  } else if (mTree.IsInUpperTier()) {
     n = Followers();
     for (const auto& [name, peer] : mPeers.Peers()) {
       n += mPeers.Alive(peer, now) ? static_cast<int>(peer.mBeat.followers()) : 0;
     }
   }
-  // A node that hears no delegate must not take all of a shared budget for itself.
+  // A node that is not in contact with a delegate must not take all of a shared budget.
   return n > 0 ? n : static_cast<int>(mPeers.Peers().size()) + 1;
 }
 
 bool
 Coordinator::Impl::WantsLoads(const std::string& aNode) const
 {
-  if (!mTree.IsUpper()) {
+  if (!mTree.IsInUpperTier()) {
     return false;
   }
   return aNode == mLease.Newest().holder() || mPeers.Find(aNode)->mBeat.followers() > 0;
@@ -403,14 +403,14 @@
 Coordinator::Impl::SendBeat()
 {
   const TimePoint now = Now();
-  mBeatDue = now + mOptions.mBeat;
+  mHeartbeatDue = now + mOptions.mHeartbeatInterval;
   const std::set<std::string> targets = mTree.TakeTargets();
   std::set<std::string> recipients = targets;
   for (auto& it : mPeers.Correspondents(now)) {
     recipients.insert(std::move(it));
   }
-  GiveOwnRateLeases();
-  RenewRetryRight();
+  GrantOwnRateLeases();
+  RenewRetryLease();
   proto::PeerMessage message = NewMessage();
   const proto::Beat common = MakeBeat();
   for (const auto& it : recipients) {
@@ -441,7 +441,7 @@
 Coordinator::Impl::AddLoads(proto::Beat* aBeat)
 {
   if (!mTree.FollowsItself() && Followers() == 0) {
-    return; // its places are counted by the desk that granted them
+    return; // its slots are counted by the allocator that granted them
   }
   EngineLimits limits = CountedLimits();
   for (const auto& [id, n] : mInFlight) {
@@ -479,10 +479,10 @@
     beat.add_log_age_ms(static_cast<std::uint64_t>(age.count()));
   }
   beat.set_followers(static_cast<std::uint32_t>(Followers()));
-  beat.set_nodes(static_cast<std::uint32_t>(NodesAtWork()));
-  beat.set_news_fence(mNews.Fence());
-  beat.set_news_change(mNews.Change());
-  beat.set_news_age_ns(ToNs(now - mNews.AsOf()));
+  beat.set_nodes(static_cast<std::uint32_t>(LiveNodes()));
+  beat.set_news_fence(mUpdates.Fence());
+  beat.set_news_change(mUpdates.Change());
+  beat.set_news_age_ns(ToNs(now - mUpdates.AsOf()));
   return beat;
 }
 
--- a/src/pepperbay/coordinator/coordinator_pools.cpp
+++ b/src/pepperbay/coordinator/coordinator_pools.cpp
@@ -6,8 +6,8 @@
 
 namespace pepperbay {
 namespace {
-/// A head's silence is told every 200 ms while it lasts; one word of it may be lost.
-constexpr std::chrono::milliseconds kSilenceHolds{ 500 };
+/// A head's silence is reported every 200 ms while it lasts; one report may be lost.
+constexpr std::chrono::milliseconds kSilenceReportLifetime{ 500 };
 }
 
 bool
@@ -16,8 +16,8 @@
   if (mStopping || !mRoutes) {
     return false;
   }
-  // While nobody can reach the log nobody can take the lease over either, and engines refuse the
-  // orders of whoever has been overtaken; repairs must not wait for the store.
+  // While the log is unreachable for all, no node can take the lease over, and engines refuse the
+  // orders of a node whose lease has been superseded; so repairs need not wait for the store.
   return mLease.Held() || (mLease.LastIsMine() && mLease.LogLost());
 }
 
@@ -31,10 +31,10 @@
   if (mPlannedFence != mLease.Fence()) {
     mPlannedFence = mLease.Fence();
     mPlanners.clear();
-    mFormerNews = mNews.Replicas();
-    mFormerHeads = mFormerNews;
-    mNews.Begin(mPlannedFence, Now());
-    mNewsTold = 0;
+    mFormerUpdates = mUpdates.Replicas();
+    mFormerHeads = mFormerUpdates;
+    mUpdates.Begin(mPlannedFence, Now());
+    mLastSentChange = 0;
     mHooks.mLog("lease_taken", { { "fence", std::to_string(mPlannedFence) } });
   }
   for (const auto& service : mRoutes->Services()) {
@@ -42,9 +42,9 @@
       PlanPool(service);
     }
   }
-  ForgetNews();
-  mFormerNews.clear();
-  TellNewsChanges();
+  DropRemovedReplicas();
+  mFormerUpdates.clear();
+  SendUpdates();
   mPlanPace.OnRound(begun, Now());
 }
 
@@ -61,9 +61,9 @@
   view.mFence = mLease.Fence();
   view.mMostOrders = mCalls.RoomForOrders();
   view.mTraffic = mTraffic;
-  view.mDead = [this](const std::string& aEngine) { return mDoubts.IsLost(aEngine); };
-  view.mEnded = [this](const std::string& aEngine) { return mDoubts.HasEnded(aEngine); };
-  // Most rounds ask for none, some for every head of the pool.
+  view.mDead = [this](const std::string& aEngine) { return mEngineSuspicions.IsLost(aEngine); };
+  view.mEnded = [this](const std::string& aEngine) { return mEngineSuspicions.HasExited(aEngine); };
+  // Computed on demand: most rounds need it for no head, some for every head of the pool.
   std::optional<std::unordered_map<std::string, int>> others;
   view.mInFlight = [this, &others](const std::string& aHead) {
     others = others ? std::move(others) : OthersInFlight();
@@ -85,15 +85,15 @@
   };
   view.mStandsStill = [this](const std::string& aHead) {
     const auto it = mSilentHeads.find(aHead);
-    return it != mSilentHeads.end() && Now() - it->second < kSilenceHolds;
+    return it != mSilentHeads.end() && Now() - it->second < kSilenceReportLifetime;
   };
   const auto orders = planner.Plan(view);
   LogComposition(planner.TakeChanges());
-  AskAsPlanned(planner);
+  QueryPlannedEngines(planner);
   for (const auto& it : orders) {
     SendOrder(it, aService.mName);
   }
-  NoteNews(planner, aService.mPool->mFormTime);
+  RecordUpdates(planner, aService.mPool->mFormTime);
 }
 
 void
@@ -163,34 +163,34 @@
 }
 
 void
-Coordinator::Impl::NoteNews(const GroupPlanner& aPlanner, Duration aFormTime)
+Coordinator::Impl::RecordUpdates(const GroupPlanner& aPlanner, Duration aFormTime)
 {
   const auto bornOf = [this](const std::string& aEngine) {
     return mDirectory.NewestStart(aEngine);
   };
-  for (const auto& news : NewsOf(aPlanner.Replicas(), bornOf, Now(), aFormTime)) {
-    if (!mNews.Put(news)) {
+  for (const auto& update : UpdatesOf(aPlanner.Replicas(), bornOf, Now(), aFormTime)) {
+    if (!mUpdates.Put(update)) {
       continue;
     }
     mChanged = true;
-    const auto former = mFormerNews.find(news.group());
-    if (former != mFormerNews.end() && SaysSame(former->second, news)) {
+    const auto former = mFormerUpdates.find(update.group());
+    if (former != mFormerUpdates.end() && IsSameState(former->second, update)) {
       continue;
     }
     mHooks.mLog("replica",
-                { { "group", news.group() },
-                  { "epoch", std::to_string(news.epoch()) },
-                  { "model", news.model() },
-                  { "open", news.open() ? "true" : "false" },
-                  { "lost", news.lost() ? "true" : "false" },
-                  { "why", aPlanner.Replicas().at(news.group()).mWhy } });
+                { { "group", update.group() },
+                  { "epoch", std::to_string(update.epoch()) },
+                  { "model", update.model() },
+                  { "open", update.open() ? "true" : "false" },
+                  { "lost", update.lost() ? "true" : "false" },
+                  { "why", aPlanner.Replicas().at(update.group()).mWhy } });
   }
 }
 
 void
-Coordinator::Impl::ForgetNews()
+Coordinator::Impl::DropRemovedReplicas()
 {
-  mNews.KeepOnly([this](const std::string& aGroup) {
+  mUpdates.KeepOnly([this](const std::string& aGroup) {
     return std::any_of(mPlanners.begin(), mPlanners.end(), [&](const auto& aPlanner) {
       return aPlanner.second.Replicas().count(aGroup) != 0;
     });
@@ -198,17 +198,17 @@
 }
 
 void
-Coordinator::Impl::AskAsPlanned(const GroupPlanner& aPlanner)
+Coordinator::Impl::QueryPlannedEngines(const GroupPlanner& aPlanner)
 {
-  using IfSilent = EngineDoubts::IfSilent;
+  using IfSilent = EngineSuspicions::IfSilent;
   for (const auto& [id, engine] : aPlanner.Wanted()) {
     const bool lapsed = mDirectory.Find(id) == nullptr;
-    mDoubts.AskOnce(engine, lapsed ? IfSilent::kIsSuspect : IfSilent::kSaysNothing);
+    mEngineSuspicions.AskOnce(engine, lapsed ? IfSilent::kSuspect : IfSilent::kIgnore);
   }
   for (const auto& id : aPlanner.Unanswering()) {
     const EngineRecord* engine = mDirectory.Find(id);
-    if (engine != nullptr && !mDoubts.IsLost(id)) {
-      mDoubts.AskOnce(*engine, IfSilent::kIsSuspect);
+    if (engine != nullptr && !mEngineSuspicions.IsLost(id)) {
+      mEngineSuspicions.AskOnce(*engine, IfSilent::kSuspect);
     }
   }
 }
@@ -224,14 +224,14 @@
   }
   proto::Suspicions suspicions;
   suspicions.add_engines(ShortId(aHead));
-  TellHolder(suspicions);
+  NotifyHolder(suspicions);
 }
 
 void
 Coordinator::Impl::OnRefused(const std::string& aHead)
 {
-  // A member that stops listening makes its head refuse; only the holder knows the members. Asked
-  // at once, its absence shows in a tenth of a second in place of most of one.
+  // A member that stops listening makes its head refuse requests; only the holder knows the
+  // members. Probed at once, the loss is detected in a tenth of a second instead of most of one.
   mHooks.mLog("refused", { { "head", aHead } });
   if (MayOrder()) {
     AskMembers(aHead, std::nullopt);
@@ -239,7 +239,7 @@
   }
   proto::Suspicions suspicions;
   suspicions.add_refusing(ShortId(aHead));
-  TellHolder(suspicions);
+  NotifyHolder(suspicions);
 }
 
 void
@@ -254,13 +254,13 @@
 {
   const TimePoint now = Now();
   for (auto it = mSilentHeads.begin(); it != mSilentHeads.end();) {
-    it = now - it->second >= kSilenceHolds ? mSilentHeads.erase(it) : std::next(it);
+    it = now - it->second >= kSilenceReportLifetime ? mSilentHeads.erase(it) : std::next(it);
   }
   for (auto it = mHeadsAsked.begin(); it != mHeadsAsked.end();) {
     it = now - it->second >= mOptions.mAskHeadAgain ? mHeadsAsked.erase(it) : std::next(it);
   }
   if (!mHeadsAsked.emplace(aHead, now).second) {
-    return; // its members have just been asked; another node has noticed the same pause
+    return; // its members have just been probed; another node has noticed the same pause
   }
   for (const auto& [name, planner] : mPlanners) {
     for (const auto& [group, replica] : planner.Replicas()) {
@@ -269,7 +269,7 @@
       }
       for (const auto& it : replica.mMembers) {
         if (const EngineRecord* engine = FindEngine(it)) {
-          mDoubts.Ask(*engine, aSilentSince);
+          mEngineSuspicions.Ask(*engine, aSilentSince);
         }
       }
     }
@@ -295,7 +295,7 @@
 Coordinator::Impl::LogVerdict(const EngineRecord& aEngine, const EngineVerdict& aVerdict)
 {
   const auto ms = [](Duration aDuration) { return std::to_string(ToMs(aDuration).count()); };
-  const std::string ended = aVerdict.mEnded ? "true" : "false";
+  const std::string ended = aVerdict.mExited ? "true" : "false";
   if (!aVerdict.mLostBy) {
     mHooks.mLog("engine_back",
                 { { "engine", aEngine.mId },
@@ -305,15 +305,16 @@
                   { "ended", ended } });
     return;
   }
-  mHooks.mLog(aVerdict.mWasLost ? "engine_gone" : "engine_lost",
-              { { "engine", aEngine.mId },
-                { "domain", aEngine.mDomain },
-                { "by", ToString(*aVerdict.mLostBy) },
-                { "evidence", ToString(aVerdict.mEvidence) },
-                { "silent_ms", ms(aVerdict.mSilentFor) },
-                { "ended", ended },
-                { "error", aVerdict.mError },
-                { "heard_others_ms_ago", ms(Now() - mCalls.Heard().OtherThan(aEngine.mId)) } });
+  mHooks.mLog(
+    aVerdict.mWasLost ? "engine_gone" : "engine_lost",
+    { { "engine", aEngine.mId },
+      { "domain", aEngine.mDomain },
+      { "by", ToString(*aVerdict.mLostBy) },
+      { "evidence", ToString(aVerdict.mEvidence) },
+      { "silent_ms", ms(aVerdict.mSilentFor) },
+      { "ended", ended },
+      { "error", aVerdict.mError },
+      { "heard_others_ms_ago", ms(Now() - mCalls.LastReplies().OtherThan(aEngine.mId)) } });
 }
 
 void
@@ -321,9 +322,9 @@
 {
   mChanged = true;
   LogVerdict(aEngine, aVerdict);
-  mCounters.mPauses += aVerdict.mLostBy || aVerdict.mEnded ? 0 : 1;
-  if (aVerdict.mLostBy && aVerdict.mEnded) {
-    ++mCounters.mEndedEngines[ToString(aVerdict.mEvidence)];
+  mCounters.mPauses += aVerdict.mLostBy || aVerdict.mExited ? 0 : 1;
+  if (aVerdict.mLostBy && aVerdict.mExited) {
+    ++mCounters.mExitedEngines[ToString(aVerdict.mEvidence)];
   }
   const auto planner = mPlanners.find(aEngine.mService);
   if (!aVerdict.mLostBy) {
@@ -336,12 +337,12 @@
     return;
   }
   ++mCounters.mLostEngines[ToString(*aVerdict.mLostBy)];
-  // Domains go dark whole: the next repair must not choose a spare that is gone as well.
+  // Domains fail as a whole: the next repair must not choose a spare that is lost as well.
   for (const auto& [id, engine] : mDirectory.Engines()) {
     const bool neighbour = !engine.mDomain.empty() && engine.mDomain == aEngine.mDomain &&
                            engine.mService == aEngine.mService;
-    if (neighbour && id != aEngine.mId && !mDoubts.IsLost(id)) {
-      mDoubts.Ask(engine);
+    if (neighbour && id != aEngine.mId && !mEngineSuspicions.IsLost(id)) {
+      mEngineSuspicions.Ask(engine);
     }
   }
 }
--- a/src/pepperbay/coordinator/coordinator_reach.cpp
+++ b/src/pepperbay/coordinator/coordinator_reach.cpp
@@ -1,4 +1,5 @@
-/// Ways to engines: whether this node reaches them, and through whom it goes where it does not.
+/// Paths to engines: whether this node reaches them directly, and which peers it tunnels through
+/// otherwise.
 #include "coordinator_impl.hpp"
 #include "pepperbay/base/hash.hpp"
 
@@ -7,15 +8,15 @@
 namespace pepperbay {
 namespace {
 
-/// Nodes that are named in one heartbeat; a data centre of the largest fleet has some 130.
-constexpr int kMostNamed = 256;
+/// Nodes named in one heartbeat; a data centre of the largest fleet has some 130.
+constexpr int kMaxNamedNodes = 256;
 
 } // namespace
 
-EngineDoubtsHooks
-Coordinator::Impl::DoubtsHooks()
+EngineSuspicionsHooks
+Coordinator::Impl::SuspicionsHooks()
 {
-  EngineDoubtsHooks hooks;
+  EngineSuspicionsHooks hooks;
   hooks.mNow = mHooks.mNow;
   hooks.mAsk = [this](const EngineRecord& aEngine,
                       const EngineCallOptions& aOptions,
@@ -23,14 +24,14 @@
     mCalls.Ask(aEngine,
                aOptions,
                [this, id = aEngine.mId, aOptions, aDone](const Result<EngineReport>& aReport) {
-                 const bool heard =
+                 const bool answered =
                    aReport.has_value() || aReport.error().mCode != Errc::kCancelled;
-                 NoteProxy(aOptions, heard);
+                 NoteProxy(aOptions, answered);
                  if (aReport.has_value() && aOptions.mVia) {
-                   mWays.OnReachedByPeer(id);
+                   mPaths.OnReachedByPeer(id);
                  }
                  if (aReport.has_value() && !aOptions.mVia) {
-                   mWays.OnConnected(id, Now());
+                   mPaths.OnConnected(id, Now());
                  }
                  aDone(aReport);
                });
@@ -41,7 +42,7 @@
   hooks.mOnChange = [this](const EngineRecord& aEngine, const EngineVerdict& aVerdict) {
     OnEngineChange(aEngine, aVerdict);
   };
-  hooks.mMayAsk = [this] { return mCalls.RoomForQuestion(); };
+  hooks.mMayAsk = [this] { return mCalls.RoomForStatusRequest(); };
   hooks.mPickPeer = [this](const EngineRecord& aEngine, const std::set<std::string>& aTried) {
     const ProxyPeer* peer = mProxies.Pick(aEngine.mDataCentre, aTried, Now());
     if (peer != nullptr) {
@@ -50,12 +51,12 @@
     return peer == nullptr ? std::nullopt : std::make_optional(*peer);
   };
   hooks.mHasPeers = [this] { return !mPeers.Peers().empty(); };
-  hooks.mIsBlind = [this] { return IsUnreached(); };
-  hooks.mFindSight = [this](const EngineRecord& aNotThis, std::function<void(bool)> aDone) {
-    mSightLooks.Find(aNotThis, std::move(aDone));
+  hooks.mIsUnreached = [this] { return IsUnreached(); };
+  hooks.mCheckReachability = [this](const EngineRecord& aNotThis, std::function<void(bool)> aDone) {
+    mReachabilityProbes.Find(aNotThis, std::move(aDone));
   };
   hooks.mOnPathFault = [this](const EngineRecord& aEngine, TimePoint aBegun) {
-    mWays.OnPathFault(aEngine.mId, aBegun, Now());
+    mPaths.OnPathFault(aEngine.mId, aBegun, Now());
   };
   return hooks;
 }
@@ -67,7 +68,7 @@
 }
 
 bool
-Coordinator::Impl::HearsReached() const
+Coordinator::Impl::HasReachingPeer() const
 {
   const auto& peers = mPeers.Peers();
   return std::any_of(peers.begin(), peers.end(), [this](const auto& aPeer) {
@@ -82,7 +83,7 @@
                                Duration aTimeout)
 {
   EngineCallOptions options{ aTimeout, std::nullopt };
-  if (mTrafficUnreached || mWays.WayTo(aEngine, Now()) == Way::kPeer) {
+  if (mTrafficUnreached || mPaths.WayTo(aEngine, Now()) == Way::kPeer) {
     if (const ProxyPeer* peer = mProxies.Pick(aDataCentre, {}, Now())) {
       options.mVia = *peer;
     }
@@ -91,47 +92,48 @@
 }
 
 void
-Coordinator::Impl::NoteProxy(const EngineCallOptions& aOptions, bool aHeard)
+Coordinator::Impl::NoteProxy(const EngineCallOptions& aOptions, bool aAnswered)
 {
   if (!aOptions.mVia) {
     return;
   }
-  if (aHeard) {
+  if (aAnswered) {
     mProxies.OnWorked(aOptions.mVia->mNode);
   } else {
     mProxies.OnFailed(aOptions.mVia->mNode, Now());
   }
 }
 
-SightLooksHooks
-Coordinator::Impl::LooksHooks()
+ReachabilityProbesHooks
+Coordinator::Impl::ReachabilityHooks()
 {
-  SightLooksHooks hooks;
-  hooks.mPick = [this](const EngineRecord& aNotThis) { return PickForSight(aNotThis); };
+  ReachabilityProbesHooks hooks;
+  hooks.mPick = [this](const EngineRecord& aNotThis) { return PickProbeTarget(aNotThis); };
   hooks.mAsk = [this](const EngineRecord& aEngine, std::function<void(bool)> aDone) {
-    AskForSight(aEngine, std::move(aDone));
+    ProbeReachability(aEngine, std::move(aDone));
   };
   return hooks;
 }
 
 const EngineRecord*
-Coordinator::Impl::PickForSight(const EngineRecord& aNotThis)
+Coordinator::Impl::PickProbeTarget(const EngineRecord& aNotThis)
 {
   std::vector<const EngineRecord*> others;
-  std::vector<const EngineRecord*> doubted; ///< or neighbours, which are lost together
+  /// Under suspicion, or in the same domain, where engines are lost together
+  std::vector<const EngineRecord*> lessSuitable;
   for (const auto& [id, engine] : mDirectory.Engines()) {
-    if (id == aNotThis.mId || mDoubts.IsLost(id)) {
+    if (id == aNotThis.mId || mEngineSuspicions.IsLost(id)) {
       continue;
     }
     const bool neighbour = !engine.mDomain.empty() && engine.mDomain == aNotThis.mDomain;
-    (neighbour || mDoubts.IsAsked(id) ? doubted : others).push_back(&engine);
+    (neighbour || mEngineSuspicions.IsAsked(id) ? lessSuitable : others).push_back(&engine);
   }
-  const auto& from = others.empty() ? doubted : others;
-  return from.empty() ? nullptr : from[mLooks++ % from.size()];
+  const auto& from = others.empty() ? lessSuitable : others;
+  return from.empty() ? nullptr : from[mNextProbe++ % from.size()];
 }
 
 void
-Coordinator::Impl::AskForSight(const EngineRecord& aEngine, std::function<void(bool)> aDone)
+Coordinator::Impl::ProbeReachability(const EngineRecord& aEngine, std::function<void(bool)> aDone)
 {
   EngineCallOptions options{ mOptions.mAskTimeout, std::nullopt };
   options.mOwnConnection = true;
@@ -140,26 +142,26 @@
     options,
     [this, id = aEngine.mId, done = std::move(aDone)](const Result<EngineReport>& aReport) {
       if (aReport.has_value()) {
-        mWays.OnConnected(id, Now());
+        mPaths.OnConnected(id, Now());
       }
       done(aReport.has_value());
     });
 }
 
 void
-Coordinator::Impl::ProbeWays()
+Coordinator::Impl::ProbePaths()
 {
-  if (!mWays.TakeProbe(Now()) || mDirectory.Engines().empty()) {
+  if (!mPaths.TakeProbe(Now()) || mDirectory.Engines().empty()) {
     return;
   }
-  auto it = mDirectory.Engines().find(mWays.EngineToTry());
+  auto it = mDirectory.Engines().find(mPaths.EngineToTry());
   if (it == mDirectory.Engines().end()) {
     it = mDirectory.Engines().begin();
-    std::advance(it, static_cast<std::ptrdiff_t>(mLooks++ % mDirectory.Engines().size()));
+    std::advance(it, static_cast<std::ptrdiff_t>(mNextProbe++ % mDirectory.Engines().size()));
   }
-  AskForSight(it->second, [this](bool aAnswered) {
+  ProbeReachability(it->second, [this](bool aAnswered) {
     if (!aAnswered) {
-      mWays.OnBadProbe(Now());
+      mPaths.OnBadProbe(Now());
     }
   });
 }
@@ -168,9 +170,9 @@
 Coordinator::Impl::UpdateProxies()
 {
   const TimePoint now = Now();
-  if (mToldUnreached != IsUnreached()) {
-    mToldUnreached = IsUnreached();
-    mBeatDue = now; // others ask this node for nothing, and carry for it, from now on
+  if (mReportedUnreached != IsUnreached()) {
+    mReportedUnreached = IsUnreached();
+    mHeartbeatDue = now; // from now on others do not tunnel through this node, and tunnel for it
   }
   std::size_t of = mPeers.Revision();
   for (const auto& [name, peer] : mPeers.Peers()) {
@@ -182,7 +184,7 @@
   }
   mProxiesOf = of;
   mProxyPeers = std::make_shared<const ProxyPeers>(ChooseProxyPeers(
-    mOptions.mNode, mOptions.mDataCentre, mPeers.Proxies(now), mOptions.mMostProxies));
+    mOptions.mNode, mOptions.mDataCentre, mPeers.Proxies(now), mOptions.mMaxProxies));
   mProxies.SetPeers(mProxyPeers);
   mPublishDue = now;
 }
@@ -198,15 +200,15 @@
 void
 Coordinator::Impl::AddUnreached(bool aToFollower, proto::Beat* aBeat)
 {
-  if (!mTree.IsUpper()) {
+  if (!mTree.IsInUpperTier()) {
     return;
   }
   for (const auto& [name, peer] : mPeers.Peers()) {
-    // What was told by others goes to followers only, or two delegates would tell it each other for
-    // ever.
-    const bool tells = mPeers.Alive(peer, Now()) ? peer.mBeat.unreached()
-                                                 : aToFollower && mPeers.Unreached(peer, Now());
-    if (tells && aBeat->unreached_nodes_size() < kMostNamed) {
+    // Reports of other nodes go to followers only, or two delegates would repeat them to each other
+    // for ever.
+    const bool reports = mPeers.Alive(peer, Now()) ? peer.mBeat.unreached()
+                                                   : aToFollower && mPeers.Unreached(peer, Now());
+    if (reports && aBeat->unreached_nodes_size() < kMaxNamedNodes) {
       aBeat->add_unreached_nodes(ShortId(name));
     }
   }
--- a/src/pepperbay/coordinator/node_tree.cpp
+++ b/src/pepperbay/coordinator/node_tree.cpp
@@ -17,40 +17,40 @@
 bool
 NodeTree::InScope(const std::string& aDataCentre) const
 {
-  return mWide || aDataCentre == mOptions.mDataCentre;
+  return mSharesDelegates || aDataCentre == mOptions.mDataCentre;
 }
 
 void
-NodeTree::Rank(const PeerBook& aPeers)
+NodeTree::Rank(const PeerTable& aPeers)
 {
   struct Listed
   {
-    std::vector<std::pair<std::string, int>> mNodes; ///< names and processor
-    int mMost = 0;
+    std::vector<std::pair<std::string, int>> mNodes; ///< names and CPU
+    int mMaxCpuPermille = 0;
   };
   std::set<std::string> centres = { mOptions.mDataCentre };
   for (const auto& [name, peer] : aPeers.Peers()) {
     centres.insert(peer.mDataCentre);
   }
   const std::size_t nodes = aPeers.Peers().size() + 1;
-  mWide = nodes < mOptions.mLeastNodes * centres.size();
+  mSharesDelegates = nodes < mOptions.mMinNodes * centres.size();
   std::map<std::string, Listed> scopes;
   const auto add = [&](const std::string& aName, const std::string& aCentre, int aCpu) {
-    Listed& scope = scopes[mWide ? std::string() : aCentre];
+    Listed& scope = scopes[mSharesDelegates ? std::string() : aCentre];
     scope.mNodes.emplace_back(aName, aCpu);
-    scope.mMost = std::max(scope.mMost, aCpu);
+    scope.mMaxCpuPermille = std::max(scope.mMaxCpuPermille, aCpu);
   };
   add(mOptions.mNode, mOptions.mDataCentre, mOptions.mCpuPermille);
   for (const auto& [name, peer] : aPeers.Peers()) {
     add(name, peer.mDataCentre, peer.mCpuPermille);
   }
-  mScope = mWide ? std::string() : mOptions.mDataCentre;
+  mScope = mSharesDelegates ? std::string() : mOptions.mDataCentre;
   mOrders.clear();
   for (const auto& [key, scope] : scopes) {
     std::vector<std::string> able;
-    std::vector<std::string> weak; // better than nobody
+    std::vector<std::string> weak; // better than none
     for (const auto& [name, cpu] : scope.mNodes) {
-      (2 * cpu >= scope.mMost ? able : weak).push_back(name);
+      (2 * cpu >= scope.mMaxCpuPermille ? able : weak).push_back(name);
     }
     auto& order = mOrders[key];
     order = RendezvousTop("delegates", able, able.size());
@@ -61,21 +61,22 @@
 }
 
 NodeTree::Standing
-NodeTree::StandingOf(const std::string& aNode, const PeerBook& aPeers, TimePoint aNow) const
+NodeTree::StandingOf(const std::string& aNode, const PeerTable& aPeers, TimePoint aNow) const
 {
   const KnownPeer* peer = aPeers.Find(aNode);
   if (peer == nullptr) {
     return Standing::kSilent;
   }
-  if (peer->mHeard != TimePoint{} && aNow - peer->mHeard < mOptions.mSilence) {
+  if (peer->mLastHeard != TimePoint{} && aNow - peer->mLastHeard < mOptions.mSilence) {
     return Standing::kHeard;
   }
   const auto watched = mWatched.find(aNode);
   if (watched == mWatched.end()) {
     return Standing::kUnknown;
   }
-  // After a pause of this process everybody seems silent; they have to be heard anew first.
-  const TimePoint since = std::max({ watched->second, peer->mHeard, mWoke });
+  // After a pause of this process all nodes seem silent; each must be given time to be heard from
+  // again.
+  const TimePoint since = std::max({ watched->second, peer->mLastHeard, mLastPauseEnd });
   return aNow - since < mOptions.mSilence ? Standing::kUnknown : Standing::kSilent;
 }
 
@@ -83,12 +84,12 @@
 NodeTree::Watch(const std::string& aNode, TimePoint aNow)
 {
   mWatched.emplace(aNode, aNow);
-  mWanted.insert(aNode);
+  mSelected.insert(aNode);
 }
 
 std::vector<std::string>
 NodeTree::Select(const std::vector<std::string>& aOrder,
-                 const PeerBook& aPeers,
+                 const PeerTable& aPeers,
                  const OwnState* aOwn,
                  TimePoint aNow)
 {
@@ -108,8 +109,8 @@
     if (standing != Standing::kSilent && !peer->mBeat.stopping()) {
       selected.push_back(it);
       Watch(it, aNow);
-    } else if (aNow - mTried[it] >= mOptions.mRetry) {
-      mTried[it] = aNow;
+    } else if (aNow - mLastTried[it] >= mOptions.mRetry) {
+      mLastTried[it] = aNow;
       mProbes.insert(it);
     }
   }
@@ -117,12 +118,12 @@
 }
 
 void
-NodeTree::ChooseReader(const PeerBook& aPeers, const OwnState& aOwn, TimePoint aNow)
+NodeTree::ChooseReader(const PeerTable& aPeers, const OwnState& aOwn, TimePoint aNow)
 {
   mReader.clear();
   mCandidate = false;
   bool heard = false;
-  bool waits = false; // for the answer of one that may be able to read
+  bool waits = false; // for the answer of a node that may be able to read
   std::size_t seen = 0;
   for (const auto& it : mOrders[mScope]) {
     if (seen >= mOptions.mCandidates) {
@@ -132,7 +133,7 @@
       ++seen;
       mCandidate = true;
       if (!aOwn.mStoreLost && mReader.empty()) {
-        return; // none better can read
+        return; // no node that ranks higher can read
       }
       continue;
     }
@@ -151,17 +152,17 @@
     }
   }
   if (mReader.empty() && heard && !mCandidate) {
-    // Nobody can read, and the candidates go on trying: one call after the other from every node
-    // would be hundreds a second to a store that is down.
+    // No node can read, and the candidates keep trying. A call from every other node as well would
+    // be hundreds a second to a store that is down.
     mReader = mFollowed;
   }
 }
 
 void
-NodeTree::ChooseOthers(const PeerBook& aPeers, TimePoint aNow)
+NodeTree::ChooseOthers(const PeerTable& aPeers, TimePoint aNow)
 {
   mOthers.clear();
-  if (!mUpper) {
+  if (!mInUpperTier) {
     return;
   }
   for (const auto& [scope, order] : mOrders) {
@@ -178,9 +179,9 @@
 }
 
 void
-NodeTree::Choose(const PeerBook& aPeers, const OwnState& aOwn, TimePoint aNow)
+NodeTree::Choose(const PeerTable& aPeers, const OwnState& aOwn, TimePoint aNow)
 {
-  mWanted.clear();
+  mSelected.clear();
   const auto selected = Select(mOrders[mScope], aPeers, &aOwn, aNow);
   mDelegates.clear();
   mFollowed.clear();
@@ -200,16 +201,19 @@
   }
   ChooseReader(aPeers, aOwn, aNow);
   const bool readerless = mReader.empty() && !mCandidate;
-  mReaderless = !readerless ? TimePoint{} : mReaderless == TimePoint{} ? aNow : mReaderless;
-  mAwaitsReader = readerless && aNow - mReaderless < mOptions.mAwaitReader;
-  mUpper = own || aOwn.mHoldsLease || !aPeers.Correspondents(aNow).empty();
+  mReaderlessSince = !readerless                       ? TimePoint{}
+                     : mReaderlessSince == TimePoint{} ? aNow
+                                                       : mReaderlessSince;
+  mAwaitsReader = readerless && aNow - mReaderlessSince < mOptions.mAwaitReader;
+  mInUpperTier = own || aOwn.mHoldsLease || !aPeers.Correspondents(aNow).empty();
   ChooseOthers(aPeers, aNow);
-  if (mUpper && aPeers.Find(aOwn.mHolder) != nullptr) {
+  if (mInUpperTier && aPeers.Find(aOwn.mHolder) != nullptr) {
     Watch(aOwn.mHolder, aNow);
   }
   for (auto it = mWatched.begin(); it != mWatched.end();) {
-    // One that is silent stays marked until it is heard, or it would seem new at the next look.
-    const bool wanted = mWanted.count(it->first) != 0;
+    // A silent node stays in the list until it is heard from, or it would seem new at the next
+    // choice.
+    const bool wanted = mSelected.count(it->first) != 0;
     const bool silent = StandingOf(it->first, aPeers, aNow) == Standing::kSilent;
     it =
       wanted || (silent && aPeers.Find(it->first) != nullptr) ? std::next(it) : mWatched.erase(it);
@@ -217,10 +221,10 @@
 }
 
 void
-NodeTree::Tick(const PeerBook& aPeers, const OwnState& aOwn, TimePoint aNow)
+NodeTree::Tick(const PeerTable& aPeers, const OwnState& aOwn, TimePoint aNow)
 {
   if (aNow - mTicked > mOptions.mSilence / 2) {
-    mWoke = aNow;
+    mLastPauseEnd = aNow;
   }
   mTicked = aNow;
   if (mRankedOf != aPeers.Revision()) {
@@ -238,7 +242,7 @@
 NodeTree::TakeTargets()
 {
   std::set<std::string> targets = std::exchange(mProbes, {});
-  targets.insert(mWanted.begin(), mWanted.end());
+  targets.insert(mSelected.begin(), mSelected.end());
   return targets;
 }
 
--- a/src/pepperbay/edge/edge_node.cpp
+++ b/src/pepperbay/edge/edge_node.cpp
@@ -283,7 +283,7 @@
     options.mIncarnation = mIncarnation;
     options.mDataCentre = mSettings.mDataCentre;
     options.mAddress = mSettings.mPeers;
-    options.mDeskAddress = mSettings.mDesk;
+    options.mAllocatorAddress = mSettings.mDesk;
     options.mTunnelAddress = mSettings.mTunnel;
     options.mTunnelKey = mTunnelKey;
     options.mCpuPermille = static_cast<int>(mSettings.mCpuCores * kPermille);
@@ -307,7 +307,7 @@
       asio::post(mControl, [this, aRequest, aEnd] { mCoordinator->OnEngineEnded(aRequest, aEnd); });
     };
     hooks.mOnSuspectCompleted = [this](const RequestKey& aRequest) {
-      asio::post(mControl, [this, aRequest] { mCoordinator->OnRanWhole(aRequest); });
+      asio::post(mControl, [this, aRequest] { mCoordinator->OnRanToCompletion(aRequest); });
     };
     if (!mSettings.mDesk.empty()) {
       hooks.mSendToAllocator = [this](const std::string& aAddress, const std::string& aBytes) {
