--- a/include/pepperbay/placement/composition.hpp
+++ b/include/pepperbay/placement/composition.hpp
@@ -1,9 +1,10 @@
 /// @file
-/// @brief How many replicas of each model a pool should have, from the places that requests use.
-/// Pure.
+/// @brief Decides how many replicas of each model a pool should have, from the request slots in
+/// use. Pure: no I/O and no clock of its own.
 ///
-/// Shares that operators set describe the work of one day. The mix turns within seconds, and a pool
-/// that keeps its shares has idle replicas of one model beside callers who wait for the other.
+/// Operators configure shares from the workload of a whole day, but the mix of models changes
+/// within seconds. A pool that always keeps its shares has idle replicas of one model while
+/// requests for another wait.
 #pragma once
 
 #include "pepperbay/base/clock.hpp"
@@ -16,51 +17,53 @@
 
 namespace pepperbay {
 
-/// What decides when a replica of one model is given up for replicas of another.
+/// Decides when a replica of one model is given up for replicas of another.
 enum class CompositionPolicy
 {
-  kShares,   ///< never: the shares of the configuration stand
-  kPressure, ///< when a model has hardly any place left
-  kEven,     ///< and before that, when another model's places are used far less
+  kShares,   ///< never: the configured shares apply
+  kPressure, ///< when a model has hardly any free slots left
+  kEven,     ///< as kPressure, and earlier if another model's slots are used far less
 };
 
 struct CompositionOptions
 {
   CompositionPolicy mPolicy = CompositionPolicy::kPressure;
-  /// Use of places is averaged over about this long. Shorter than a burst, longer than the chance
-  /// arrivals of a fraction of a second.
+  /// Time constant of the average of slots in use. Shorter than a burst, longer than random
+  /// variation of arrivals over a fraction of a second.
   Duration mMemory = std::chrono::milliseconds(300);
-  /// A model with more than this part of its places in use is short of them.
+  /// A model is short of slots if at least this fraction of them is in use.
   double mShort = 0.8;
-  /// With less than this in use a model gains nothing by more places.
+  /// A model with a smaller fraction of its slots in use gains nothing from more slots.
   double mEnough = 0.5;
-  /// At most this part of the places that are left to the giver is in use. Replicas of long prompts
-  /// are busy with little more than half of their places in use.
+  /// Maximum fraction of the donor's remaining slots in use after it has given replicas up.
+  /// Replicas with long prompts are busy with little more than half of their slots in use.
   double mMostAfterGiving = 0.55;
-  /// The part in use of the model that gains exceeds that of the giver, after it has given, by this
-  /// at least. Less, and the next wave of requests would turn the same engines back.
+  /// Minimum difference between the utilisation of the receiving model and that of the donor after
+  /// it has given replicas up. With a smaller difference the next wave of requests would move the
+  /// same engines back.
   double mLeastGain = 0.15;
-  /// Replicas that each model keeps: the loss of one must not leave its callers without any.
+  /// Minimum number of replicas of each model, so that the loss of one replica does not leave the
+  /// model without any.
   std::size_t mLeastReplicas = 2;
-  /// Engines that may be between two models at once, as a share of the pool's.
+  /// Maximum fraction of the pool's engines that may be moving between models at once.
   double mMostMoving = 0.25;
 };
 
-/// One model's replicas and the use of their places.
+/// One model's replicas and the use of their slots.
 struct ModelUse
 {
   std::string mModel;
-  std::size_t mSize = 1;     ///< engines of one replica
-  std::size_t mReplicas = 0; ///< that serve, or are forming for it
-  double mInUse = 0;         ///< requests in progress or waiting, averaged
+  std::size_t mSize = 1;     ///< engines in one replica
+  std::size_t mReplicas = 0; ///< serving or forming
+  double mInUse = 0;         ///< requests in progress or waiting, averaged over time
 };
 
-/// @return the part of a model's places in use if it had some replicas fewer; beyond 1 while
-/// requests wait, and infinite where none would be left.
+/// @return the fraction of a model's slots that would be in use with aFewer replicas fewer; above 1
+/// while requests wait, infinite if no replica would be left.
 double
 PartInUse(const ModelUse& aUse, int aSlots, std::size_t aFewer = 0);
 
-/// The average use of places by model.
+/// The average number of slots in use, by model.
 class PlaceUse
 {
 public:
@@ -78,15 +81,15 @@
   std::map<std::string, Average> mAverages;
 };
 
-/// Which model should have replicas of which other.
+/// Replicas of mFrom should be given up for replicas of mTo.
 struct CompositionNeed
 {
   std::string mFrom;
   std::string mTo;
 };
 
-/// @param aUses of all models of a pool, with replicas that are on their way counted
-/// @return the two models between which a replica moved helps most; nothing where none does
+/// @param aUses use of all models of a pool; replicas that are still forming are counted
+/// @return the two models between which moving a replica helps most; nullopt if no move helps
 ///
 /// @code
 /// if (const auto need = NextTrade(uses, pool.mSlots, options)) { give a replica of need->mFrom up
--- a/include/pepperbay/placement/engine_state.hpp
+++ b/include/pepperbay/placement/engine_state.hpp
@@ -1,5 +1,6 @@
 /// @file
-/// @brief What is known of one start of an engine, and what each of its words proves. Pure.
+/// @brief Tracks the known state of one engine incarnation and what each of its answers proves.
+/// Pure.
 #pragma once
 
 #include "pepperbay/placement/group_order.hpp"
@@ -10,65 +11,71 @@
 
 namespace pepperbay {
 
-/// What an engine's answer to an order proves about the engine.
+/// What an engine's answer to an order proves about the engine's state.
 enum class OrderProof
 {
-  kDone,      ///< carried out by this sending, and counted by the engine
-  kAccepted,  ///< carried out by this sending or an earlier one; the engine counts it once
-  kAlreadySo, ///< what the order asks for was there; nothing changed
-  kIgnored,   ///< it concerned an older membership than the engine has; nothing changed
-  kRefused,   ///< the engine's state is another than the order supposes
-  kUnknown,   ///< carried out, or still to come, or lost
+  kDone,      ///< carried out by this transmission, and counted by the engine
+  kAccepted,  ///< carried out by this transmission or an earlier one; counted once by the engine
+  kAlreadySo, ///< the requested state was already in place; nothing changed
+  kIgnored,   ///< the order concerned an older membership than the engine has; nothing changed
+  kRefused,   ///< the engine's state differs from the one that the order expects
+  kUnknown,   ///< the order may have been carried out, may be carried out later, or is lost
 };
 
 const char*
 ToString(OrderProof aProof);
 
-/// The newest place that is known of an engine and the number of orders that it had accepted there.
+/// The newest known group position of an engine, and the number of orders that the engine had
+/// accepted at that time.
 ///
-/// The two belong together: orders to join and to leave name the number, and an engine that has
-/// accepted any other order since refuses them. So an old pair does no harm; a place with the
-/// number of a later one would. Within a start the epochs of an engine's places only grow, so of
-/// two words the one with the higher epoch or number is the newer, however late it comes.
+/// The two are stored as a pair: join and leave orders carry the number, and an engine refuses them
+/// if it has accepted any other order since. An outdated pair is therefore harmless, but an old
+/// position paired with a newer number is not. Within one incarnation of an engine the epochs of
+/// its positions only grow. Of two statements by the engine, the one with the higher epoch or
+/// number is the newer, in whatever order they arrive.
 class EngineState
 {
 public:
-  /// What an engine says when asked may be so old.
+  /// Maximum age of the state in an engine's report.
   static constexpr std::chrono::milliseconds kReportAge{ 500 };
 
-  /// @return the state of an engine that has just started.
+  /// @return the state of an engine that has just started: in no group, no orders accepted.
   static EngineState JustStarted();
 
-  /// @return what the answer proves; a place is free only by what follows from it here.
+  /// Updates the state from an answer.
+  /// @return what the answer proves. Only this result shows that an engine has left its position.
   OrderProof OnAnswer(const GroupOrder& aOrder, OrderAnswer aAnswer, TimePoint aNow);
   void OnReport(const GroupPlace& aPlace, std::uint64_t aAccepted, TimePoint aNow);
-  /// A registration may have stood still for long; it counts only when it changes to a newer place.
+  /// A registration may be long out of date; it is used only when it changes to a newer position.
   void OnRegistration(const GroupPlace& aPlace);
 
   const GroupPlace& Place() const { return mPlace; }
   bool IsIn(const std::string& aGroup, std::uint64_t aEpoch) const;
-  /// @return the number of orders accepted that belongs to the place; none: the engine has to say.
+  /// @return the number of accepted orders that belongs to the position; nullopt if the engine has
+  /// to be queried for it.
   std::optional<std::uint64_t> Accepted() const;
-  /// @return whether the number is missing and an answer would be new enough to give it.
+  /// @return whether the number is unknown and a report requested now would be recent enough to
+  /// give it.
   bool ShouldAsk(TimePoint aNow) const;
 
 private:
   OrderProof ProofOf(const GroupOrder& aOrder, OrderAnswer aAnswer) const;
   OrderProof ProofOfJoin(const GroupOrder& aOrder, OrderAnswer aAnswer) const;
   OrderProof ProofOfLeave(const GroupOrder& aOrder) const;
-  /// @return whether an engine that has carried a join or leave out is elsewhere than it is known.
+  /// @return whether an engine that has carried out this join or leave is at another position than
+  /// the known one.
   bool MovesEngine(const GroupOrder& aOrder) const;
   void Apply(const GroupOrder& aOrder);
   void OnRefused(const GroupOrder& aOrder, TimePoint aNow);
-  /// The number is not known until the engine states at least so many.
+  /// Marks the number as unknown until a report states at least aLeast accepted orders.
   void Doubt(std::uint64_t aLeast, TimePoint aNow);
 
   GroupPlace mPlace;
   GroupPlace mRegistered;
-  std::uint64_t mLeft = 0; ///< no membership of this epoch or an older one stands any more
+  std::uint64_t mLeft = 0; ///< memberships of this epoch and older ones have ended
   std::uint64_t mAccepted = 0;
   bool mExact = false; ///< mAccepted belongs to mPlace
-  /// Until then a report that states fewer is of before what is known.
+  /// Until mLeastUntil, a report that states fewer accepted orders than this is outdated.
   std::uint64_t mLeast = 0;
   TimePoint mLeastUntil{};
   TimePoint mAskFrom{};
--- a/include/pepperbay/placement/group_planner.hpp
+++ b/include/pepperbay/placement/group_planner.hpp
@@ -1,8 +1,14 @@
 /// @file
-/// @brief Engines to whole replicas on a platform whose engines form groups by orders. Pure.
+/// @brief Forms whole replicas of engines on a platform whose engines form groups by orders. Pure.
 ///
-/// Run by the holder of the lease only. What stands is learnt from the engines themselves, so a new
-/// holder needs nothing from the last one, and a replica that serves is left alone.
+/// Run only by the holder of the lease. The planner learns which replicas exist from the engines
+/// themselves, so a new holder needs no state from its predecessor, and replicas that serve are
+/// left as they are.
+///
+/// Terms: the head is the member that receives the replica's requests. A replica is whole if all
+/// its members are ready under the same epoch. Epochs order the memberships of a group; a later
+/// epoch replaces an earlier one. Spares are free engines kept ready to replace lost members.
+/// Survivors are the members of a broken replica that still work.
 #pragma once
 
 #include "pepperbay/placement/composition.hpp"
@@ -21,92 +27,96 @@
 
 namespace pepperbay {
 
-/// How free engines of a domain are kept ready to replace lost members. `bench/pools` measures what
-/// each is worth.
+/// How free engines of a domain are prepared to replace lost members. `bench/pools` measures the
+/// benefit of each policy.
 enum class SparePolicy
 {
-  kIdle,          ///< as they are: a replacement loads the weights first
-  kStaged,        ///< with the weights of one model on their host
-  kStandby,       ///< joined alone to a group of one model: 200 ms away from a replica of it
-  kStandbyForAll, ///< the same, with the weights of another model on their host
+  kIdle,          ///< not prepared: a replacement loads the weights first
+  kStaged,        ///< the weights of one model are on their host
+  kStandby,       ///< alone in a group of one model: joins a replica of that model in 200 ms
+  kStandbyForAll, ///< as kStandby, and the weights of another model are on their host
 };
 
 struct GroupPlannerOptions
 {
-  /// Engines of a fabric domain kept free to replace lost members, as a share, rounded up. With
-  /// none, each loss darkens a replica for a whole load of weights.
+  /// Fraction of the engines of a fabric domain kept free to replace lost members, rounded up.
+  /// Without spares, each loss takes a replica out of service for a whole weight load.
   double mSpareShare = 0.1;
   SparePolicy mSpares = SparePolicy::kStandbyForAll;
-  /// An order to open that came before the head was ready is given again after this; the replica
-  /// is dark meanwhile.
+  /// An open order that arrived before the head was ready is repeated after this time; the replica
+  /// does not serve meanwhile.
   Duration mRepeatOpen = std::chrono::milliseconds(25);
-  /// Any other order that does not fit the engine's state yet.
+  /// Any other order that the engine's state does not allow yet is repeated after this time.
   Duration mRepeat = std::chrono::milliseconds(250);
-  /// A join that has begun is asked for again after this, in case the word of its end was lost; a
-  /// repeat answers that it holds once the engine is ready.
+  /// A join in progress is repeated after this time, in case the notice of its completion was lost;
+  /// the engine answers kHolds once it is ready.
   Duration mAskJoined = std::chrono::milliseconds(240);
-  /// The same for a join that has to load weights first. Its end shows in the registration at
-  /// once; asking every 240 ms made up a third of all orders.
+  /// As mAskJoined, for a join that has to load weights. Its completion shows at once in the
+  /// registration. Repeats every 240 ms made up a third of all orders.
   Duration mAskLoaded = std::chrono::milliseconds(1500);
-  /// Orders without an answer, in a row, after which an engine counts as lost.
+  /// Number of consecutive orders without an answer after which an engine counts as lost.
   int mMostUnanswered = 3;
-  /// Requests at a replica that loses a member get this long to end before it is formed anew: the
-  /// longest that callers wait for a stream. Engines that leave work on for longer than that.
+  /// Requests in progress at a replica that loses a member may complete for this long before it is
+  /// re-formed: the longest time that callers wait for a stream. Leaving engines keep working for
+  /// longer.
   Duration mDrainMost = std::chrono::seconds(8);
-  /// Whether a head that is not listed still has requests is looked at again after this: half the
-  /// time in which nodes tell what they have in progress.
+  /// Interval between checks whether an unlisted head still has requests: half of the interval in
+  /// which nodes report their requests in progress.
   Duration mLookAtHeadAgain = std::chrono::milliseconds(100);
-  /// The first replicas are formed once no engine has registered for this long: those of one
+  /// The first replicas are formed once no engine has registered for this long: the engines of one
   /// domain register within a short time of each other.
   Duration mSettle = std::chrono::milliseconds(600);
-  /// A broken replica that finds no spare for so long gives its members up. A new engine in its
-  /// domain would have loaded the weights by then.
+  /// A broken replica that finds no spare for this long is dissolved. A new engine in its domain
+  /// would have loaded the weights by then.
   Duration mGiveUpAfter = std::chrono::seconds(20);
-  /// Broken replicas of a domain without spares complete each other, and engines that have to load
-  /// weights do so by themselves. Off: each waits for engines of its own.
+  /// Whether broken replicas of a domain without spares complete each other, and engines that have
+  /// to load weights do so outside of replicas. If false, each broken replica waits for engines of
+  /// its own.
   bool mJoinSurvivors = true;
-  /// A spare may be about to come free; a second broken replica is given up after this.
+  /// A second broken replica of a domain is given up after this time; a spare may become free
+  /// before.
   Duration mWaitForSpare = std::chrono::milliseconds(300);
-  /// After this, one is given up for another although its engines have to load weights for that:
-  /// the domain has lost more than it gets back.
+  /// After this time, a broken replica is given up for another even if its engines have to load
+  /// weights for that: the domain loses more engines than it regains.
   Duration mWaitForLoads = std::chrono::seconds(3);
-  /// A replica that serves is given up for a broken one of its domain that lacks fewer engines than
-  /// it has, if its model still has room: no more than this part of the places that are left would
-  /// be in use. Fuller than that, callers begin to wait for places.
+  /// A serving replica is given up for a broken one of its domain that lacks fewer engines than it
+  /// has, if at most this fraction of the remaining slots of its model would then be in use. At
+  /// higher utilisation, requests begin to wait for slots.
   double mRoomToGive = 0.7;
-  /// When replicas of one model are given up for another that is asked for more.
+  /// Decides when replicas of one model are given up for another with more demand.
   CompositionOptions mComposition;
-  /// Engines that were given up for another model and have not become replicas of it after this
-  /// count as free again.
+  /// Engines that were released for another model and have not formed replicas of it after this
+  /// time count as free again.
   Duration mTradeMost = std::chrono::seconds(14);
-  /// A broken replica counts as one that is about to serve for so long: most repairs take a second.
+  /// A broken replica counts as about to serve for this long: most repairs take a second.
   Duration mCountsBroken = std::chrono::seconds(3);
-  /// Loads onto the hosts of members that are under way at once while requests come in: a share of
-  /// what the store of weights serves at once, and at least so many. Beyond that they would make
-  /// the loads longer that a repair waits for.
+  /// Maximum number of concurrent weight loads onto hosts of members while requests arrive: a
+  /// fraction of what the weight store serves at once, and at least mLeastLoadsAhead. More of them
+  /// would slow down the loads that repairs wait for.
   double mLoadsAheadShare = 0.25;
   int mLeastLoadsAhead = 2;
-  /// They are begun in fabric domains that have lost an engine, and in all while a model has more
-  /// than this part of its places in use: elsewhere in a large pool the next loss is far away.
+  /// Such loads start in fabric domains that have lost an engine, and in all domains while a model
+  /// has more than this fraction of its slots in use. In other domains of a large pool, the next
+  /// loss is unlikely to happen soon.
   double mLoadsAheadUse = 0.6;
-  /// A join without an answer may still be carried out this much later.
+  /// A join without an answer may still be carried out for this long.
   Duration mLateOrder = std::chrono::seconds(13);
-  /// A member whose registration is gone is kept while it answers at least this often. It may be
-  /// cut off from the store and come back, or leave without a word; in the second case its end
-  /// shows as any other loss does.
+  /// A member without a registration is kept while it answers at least once in this time. It may be
+  /// cut off from the store and come back, or be shutting down unannounced; in the latter case it
+  /// is then detected as lost like any other member.
   Duration mUnlistedAnswers = std::chrono::milliseconds(900);
-  /// What was known of an engine that is neither listed nor in a replica is forgotten after this; a
-  /// late order of ours could no longer reach it.
+  /// The state of an engine that is neither listed nor in a replica is dropped after this time. By
+  /// then, a late order of this node can no longer reach it.
   Duration mForgetAfter = std::chrono::seconds(30);
-  /// An engine that is well may be silent for so long and go on. Nothing that would end its streams
-  /// is done before.
+  /// A healthy engine may pause for this long and continue. Nothing that would end its streams is
+  /// done before.
   Duration mPauseMost = std::chrono::milliseconds(1500);
-  /// Pause after an order was refused as stale. Another holder may be at work; its word or the
-  /// log's comes within that time.
+  /// Pause after an order was refused as stale. Another holder may be active; this time is enough
+  /// to learn of it from that holder or from the log.
   Duration mStalePause = std::chrono::milliseconds(200);
 };
 
-/// All that one round looks at.
+/// The input of one planning round.
 struct GroupView
 {
   const EngineMap* mEngines = nullptr;
@@ -114,29 +124,31 @@
   const EnginePool* mPool = nullptr;
   TimePoint mNow{};
   std::uint64_t mFence = 0;
-  /// Orders that may be given in this round; what is left comes in the next ones.
+  /// Maximum number of orders in this round; the remaining ones are sent in later rounds.
   int mMostOrders = std::numeric_limits<int>::max();
-  bool mTraffic = false; ///< requests have come: loads now count against the weight store's rate
-  /// The engine does not answer, whatever its registration says.
+  bool mTraffic =
+    false; ///< requests have arrived: weight loads count against the store's rate limit
+  /// Returns whether the engine does not answer, whatever its registration says.
   std::function<bool(const std::string& aEngine)> mDead;
-  /// Such an engine will not go on; one that has not ended may only pause. Null: each of them has.
+  /// Returns whether an engine that does not answer has exited; otherwise it may only pause. If
+  /// null, every such engine counts as exited.
   std::function<bool(const std::string& aEngine)> mEnded = nullptr;
-  /// Requests of all nodes in progress at a head.
+  /// Returns the number of requests of all nodes in progress at a head.
   std::function<int(const std::string& aHead)> mInFlight;
-  /// Requests a second that a head takes from all nodes together; none: it names no limit. May be
-  /// null.
+  /// Returns the rate limit in requests per second that a head accepts from all nodes together;
+  /// nullopt if it states no limit. May be null.
   std::function<std::optional<double>(const std::string& aHead)> mLimitOf;
-  /// As mInFlight, for the head that the last holder named for a group at an epoch, where that head
-  /// is not listed; 0 where nothing is known of it. May be null.
+  /// As mInFlight, for the unlisted head that the previous holder named for a group at an epoch; 0
+  /// if nothing is known about it. May be null.
   std::function<int(const std::string& aGroup, std::uint64_t aEpoch)> mInFlightAtFormerHead;
-  /// Nodes say that the streams of a head stand still.
+  /// Returns whether nodes report that the streams of a head make no progress.
   std::function<bool(const std::string& aHead)> mStandsStill;
 };
 
 enum class ReplicaPhase
 {
   kForming, ///< members join
-  kOpening, ///< every member is ready; the head is told to open
+  kOpening, ///< all members are ready; the head is ordered to open
   kOpen,
   kBroken, ///< a member is lost
 };
@@ -144,19 +156,20 @@
 const char*
 ToString(ReplicaPhase aPhase);
 
-/// Replicas of one model that are given up for another, for people.
+/// A change of the pool's composition: replicas of one model given up for another. For status
+/// reports.
 struct CompositionChange
 {
   std::string mFrom;
   std::string mTo;
   std::string mDomain;
-  std::size_t mGiven = 0;  ///< replicas
-  std::size_t mComing = 0; ///< replicas that their engines become
-  double mInUseFrom = 0;   ///< part of the places in use before
+  std::size_t mGiven = 0;  ///< number of replicas given up
+  std::size_t mComing = 0; ///< number of replicas to be formed from their engines
+  double mInUseFrom = 0;   ///< fraction of the slots in use before the change
   double mInUseTo = 0;
 };
 
-/// A replica as the planner sees it.
+/// The planner's record of a replica.
 struct PlannedReplica
 {
   std::string mName;
@@ -165,19 +178,19 @@
   std::string mDomain;
   std::vector<std::string> mMembers; ///< the first is the head
   ReplicaPhase mPhase = ReplicaPhase::kForming;
-  std::set<std::string> mReady;           ///< members that were ready under this epoch
-  std::set<std::string> mRestarted;       ///< members that started again and know nothing of it
-  TimePoint mSince{};                     ///< of the phase
-  std::optional<TimePoint> mLeavingSince; ///< a member leaves; what is in progress may end
-  bool mMemberLost = false;               ///< a member does not answer; it may work on
-  bool mHeadUnknown = false;              ///< found by its other members; the head may work on
-  TimePoint mNotBefore{};                 ///< a broken one is not formed anew before
-  bool mGivenUp = false;                  ///< its engines are needed by another
-  std::string mWhy;                       ///< why it does not serve
+  std::set<std::string> mReady;     ///< members that have been ready under this epoch
+  std::set<std::string> mRestarted; ///< members that have restarted and lost their group state
+  TimePoint mSince{};               ///< start of the phase
+  std::optional<TimePoint> mLeavingSince; ///< a member leaves; requests in progress may complete
+  bool mMemberLost = false;               ///< a member does not answer but may still work
+  bool mHeadUnknown = false;              ///< discovered without its head, which may still work
+  TimePoint mNotBefore{};                 ///< if broken, it is not re-formed before
+  bool mGivenUp = false;                  ///< its engines are needed by another replica
+  std::string mWhy;                       ///< the reason why it does not serve
 
   bool HasMember(const std::string& aEngine) const;
-  /// @return whether each member was ready. Numbers do not tell: at the address of an engine that
-  /// has ended another may answer, and be a member here under its own id.
+  /// @return whether each member has been ready. Counting ready reports is not enough: another
+  /// engine may answer at the address of an exited one under its own id.
   bool AllReady() const;
 };
 
@@ -187,25 +200,25 @@
   GroupPlanner();
   explicit GroupPlanner(GroupPlannerOptions aOptions);
 
-  /// @return the orders to give now. Report the answer of each with OnAnswer().
+  /// @return the orders to send now. Report the answer to each with OnAnswer().
   std::vector<GroupOrder> Plan(const GroupView& aView);
   void OnAnswer(const GroupOrder& aOrder, OrderAnswer aAnswer, TimePoint aNow);
-  /// An engine was asked and says where it stands.
+  /// Handles an engine's report of its own state.
   void OnReport(const std::string& aEngine, const EngineReport& aReport, TimePoint aNow);
-  /// Engines whose state has to be known: ask them, OnReport().
+  /// Engines to query for their state; pass each report to OnReport().
   const std::map<std::string, EngineRecord>& Wanted() const { return mWanted; }
 
   const std::map<std::string, PlannedReplica>& Replicas() const { return mReplicas; }
-  /// Members of the replicas, as they were listed last; some may be listed no more.
+  /// Members of the replicas, with the last listed record of each; some may no longer be listed.
   const std::map<std::string, EngineRecord>& Members() const { return mKnown; }
-  /// Engines that left orders unanswered; they count as lost until they are heard again.
+  /// Engines that left orders unanswered; they count as lost until they answer again.
   const std::set<std::string>& Unanswering() const { return mUnanswering; }
   void Forgive(const std::string& aEngine);
   /// @return the changes of composition since the last call.
   std::vector<CompositionChange> TakeChanges();
-  /// @return the models' replicas and the use of their places, as of the last round.
+  /// @return the replicas of each model and the use of their slots, as of the last round.
   const std::vector<ModelUse>& Uses() const { return mUses; }
-  /// @return how often an engine was looked at in the last round to find free ones.
+  /// @return how many engine records the last round examined to find free engines.
   std::size_t LookedAt() const { return mLookedAt; }
 
 private:
@@ -215,7 +228,7 @@
     std::uint64_t mEpoch = 0;
     bool mReady = false;
   };
-  /// Weights on their way to an engine's host.
+  /// A weight transfer to an engine's host.
   struct Staging
   {
     std::string mModel;
@@ -233,33 +246,33 @@
     std::uint64_t mEpoch = 0;
     TimePoint mUntil{};
   };
-  /// Engines of a domain on their way from one model to another.
+  /// Engines of a domain that are moving from one model to another.
   struct Trade
   {
     std::string mFrom;
     std::string mTo;
-    std::size_t mComing = 0; ///< replicas still to be formed
+    std::size_t mComing = 0; ///< number of replicas still to be formed
     TimePoint mUntil{};
   };
-  /// What a domain would give up for a model, and get.
+  /// The replicas that a domain would give up for a model, and the gain.
   struct TradeOffer
   {
     std::string mDomain;
-    std::vector<PlannedReplica*> mDonors; ///< empty: nothing
-    std::size_t mGets = 0;                ///< replicas
-    int mInUse = 0;                       ///< requests at the donors
+    std::vector<PlannedReplica*> mDonors; ///< empty if there is nothing to give up
+    std::size_t mGets = 0;                ///< number of new replicas
+    int mInUse = 0;                       ///< requests in progress at the donors
   };
-  /// One start of an engine.
+  /// One incarnation of an engine.
   struct Start
   {
     WallTime mBorn{};
     TimePoint mLastSeen{};
   };
-  /// Orders in progress and their spacing, by engine and kind.
+  /// State of an order in progress and its repeat time, by engine and kind.
   struct Pending
   {
     bool mWaiting = false;
-    TimePoint mDue{};    ///< not again before
+    TimePoint mDue{};    ///< not repeated before
     bool mLoads = false; ///< takes longer than a rejoin
     int mUnanswered = 0;
   };
@@ -267,17 +280,17 @@
   bool Usable(const EngineRecord& aEngine) const;
   bool Usable(const std::string& aEngine) const;
   const EngineRecord* FindListed(const std::string& aEngine) const;
-  /// The same, and members that are no longer listed but answer.
+  /// As FindListed(), but also finds members that are no longer listed and still answer.
   const EngineRecord* Find(const std::string& aEngine) const;
   void RememberMembers();
   std::uint64_t NextEpoch();
 
-  /// Notice engines that have started again, and forget those that are long gone.
+  /// Detects restarted engines, and drops the state of engines that are long gone.
   void NoteStarts();
   void NoteStart(const std::string& aEngine, WallTime aBorn, TimePoint aNow);
-  /// Nothing that was known of an engine holds any more.
+  /// Discards the state of an engine's previous incarnation.
   void ForgetStart(const std::string& aEngine, TimePoint aNow);
-  /// @return false for what a start that has been replaced said or was told.
+  /// @return false if a message was from or to a stale incarnation of the engine.
   bool OfNewestStart(const std::string& aEngine, WallTime aBorn) const;
   void LearnStanding();
   void WantUnknown();
@@ -285,194 +298,203 @@
   void Judge(PlannedReplica& aReplica);
   struct LostMember
   {
-    std::string mName;   ///< for people
-    bool mEnded = false; ///< otherwise it may only pause
+    std::string mName;   ///< for status reports
+    bool mEnded = false; ///< false: it may only pause
   };
-  /// @return a member that is not there or does not answer, one that has ended before others.
+  /// @return a member that is missing or does not answer; members that have exited take precedence.
   std::optional<LostMember> FindLost(const PlannedReplica& aReplica) const;
-  /// @return whether a member that is lost will not go on.
+  /// @return whether a lost member has exited and will not continue.
   bool HasEnded(const std::string& aMember) const;
-  /// @return whether a member does not answer and may go on at any moment.
+  /// @return whether a member does not answer and may continue at any moment.
   bool HasSilentMember(const PlannedReplica& aReplica) const;
-  /// @return whether a replica is to take no new requests although all its members answer.
+  /// @return whether a replica must take no new requests although all its members answer.
   bool IsToLeave(const PlannedReplica& aReplica) const;
   /// @return whether a replica that takes no new requests still has some in progress.
   bool WorksOn(const PlannedReplica& aReplica) const;
-  /// @return whether the head of a replica that was found without it still has requests.
+  /// @return whether the unlisted head of a discovered replica still has requests in progress.
   bool UnknownHeadWorks(const PlannedReplica& aReplica) const;
   void Break(PlannedReplica& aReplica, std::string aWhy, TimePoint aNow);
-  /// Give the orders that replicas which form or open need.
+  /// Queues the orders that forming and opening replicas need.
   void Drive();
   void Open(PlannedReplica& aReplica);
   void Join(const PlannedReplica& aReplica);
   void NoteReadiness(PlannedReplica& aReplica);
   void RepairBroken();
-  /// Give a broken replica up where its members complete another that waits in the same domain.
+  /// Gives up a broken replica if its members complete another one that waits in the same domain.
   void JoinSurvivors();
-  /// Give up a replica that serves a model with room for a broken one that lacks few engines.
+  /// Gives up a serving replica of a model with free slots for a broken one that lacks few engines.
   void GiveUpServing();
-  /// @return the open replicas to be given up for a broken one; empty where that is not worth it
+  /// @return the open replicas to give up for a broken one; empty if that is not worth it.
   std::vector<PlannedReplica*> ServingDonors(const PlannedReplica& aTarget);
-  /// Average the use of places, and drop trades that have come to nothing.
-  /// @return whether there was anything new to see
+  /// Averages the use of slots, and drops rebalances that are over.
+  /// @return whether there was a new observation
   bool ObserveUse();
   std::vector<ModelUse> CountUses() const;
-  /// @return requests in progress at an open replica, and slots that its head's limit leaves empty.
+  /// @return requests in progress at an open replica plus the slots that its head's rate limit
+  /// leaves empty.
   int PlacesInUse(const PlannedReplica& aReplica) const;
-  /// @return whether a replica has places for requests, now or in a moment.
+  /// @return whether a replica has slots for requests now or will have them shortly.
   bool CountsAsServing(const PlannedReplica& aReplica) const;
-  /// Give up replicas of a model whose places are hardly used for one that is short of them.
+  /// Gives up replicas of a model whose slots are hardly used for a model that is short of slots.
   void TradeReplicas();
-  /// @return whether a domain was found where that can be done at once
+  /// @return whether a domain was found where this can be done at once
   bool BeginTrade(const CompositionNeed& aNeed);
-  /// @return of the domains where no trade is under way, what gets most replicas; of equals, what
-  /// has fewest requests to wait for.
+  /// @return the offer that yields most replicas among the domains without a rebalance in progress;
+  /// ties are broken by the fewest requests to wait for.
   TradeOffer BestOffer(const ModelSpec& aFrom, const ModelSpec& aTo);
   void NoteChange(const std::string& aFrom, const std::string& aTo, const TradeOffer& aOffer);
-  /// Let replicas of a model that are only about to be given up serve on.
+  /// Keeps replicas of a model that were to be given up but still serve.
   /// @return whether there were any
   bool TakeBack(const std::string& aModel);
-  /// @return replicas of a model that take requests.
+  /// @return the number of replicas of a model that take requests.
   std::size_t OpenReplicas(const std::string& aModel) const;
-  /// @return the replicas of a model in a domain to be given up for one of another; empty for none.
+  /// @return the replicas of a model in a domain to give up for one of another model; empty if
+  /// none.
   std::vector<PlannedReplica*> TradeDonors(const std::string& aDomain,
                                            const ModelSpec& aFrom,
                                            const ModelSpec& aTo);
-  /// @return members of some replicas that join a model without a load of weights.
+  /// @return the number of members of the replicas that can join a model without loading weights.
   std::size_t QuickMembers(const std::vector<PlannedReplica*>& aReplicas,
                            const std::string& aModel) const;
   std::size_t MovingEngines() const;
-  /// @return the model that free engines of a domain form a replica of: what a trade there is for,
-  /// or what is furthest below its share of the engines; null where they are too few.
+  /// @return the model that free engines of a domain form a replica of: the target of a rebalance
+  /// there, or the model furthest below its share of the engines; null if there are too few
+  /// engines.
   const ModelSpec* MostShort(const std::string& aDomain,
                              std::size_t aFree,
                              std::size_t aEngines,
                              const std::map<std::string, std::size_t>& aHave) const;
-  /// Count a new replica as one of those that a trade was to bring.
+  /// Counts a new replica towards the rebalance in progress.
   void NoteFormed(const std::string& aDomain, const std::string& aModel);
-  /// @return the part of a model's places in use if so many of its open replicas were not there;
-  /// beyond 1 while requests wait, and infinite where none would be left.
+  /// @return the fraction of a model's slots in use if aWithout of its open replicas were missing;
+  /// above 1 while requests wait, infinite if none would be left.
   double PlacesInUse(const std::string& aModel, std::size_t aWithout) const;
-  /// @return engines that a broken replica lacks and that no ready engine of its domain can be.
+  /// @return the number of engines that a broken replica lacks and that no ready engine of its
+  /// domain can replace.
   std::size_t LacksReady(const PlannedReplica& aReplica) const;
-  /// @return the replica to be given up; empty: none helps another
+  /// @return the replica to give up; empty if none helps another
   std::string DonorAmong(std::vector<PlannedReplica*> aWaiting) const;
   enum class Ready
   {
-    kAtOnce,     ///< engines that can join without loading weights
-    kAfterLoads, ///< any
+    kAtOnce,     ///< only engines that can join without loading weights
+    kAfterLoads, ///< any engine
   };
-  /// @return the smallest other replica that has so many engines to give; null for none
+  /// @return the smallest other replica with enough engines to give; null if none
   const PlannedReplica* LeastDonor(const PlannedReplica& aTarget,
                                    const std::vector<PlannedReplica*>& aWaiting,
                                    std::size_t aMissing,
                                    Ready aReady) const;
   void Drop(const std::string& aName);
-  /// Members that are well and still in the replica.
+  /// Healthy members that are still in the replica.
   std::vector<std::string> Survivors(const PlannedReplica& aReplica) const;
-  /// @return engines that a broken replica needs beside its survivors; 0 where there are none.
+  /// @return the number of engines that a broken replica needs besides its survivors; 0 if it has
+  /// none.
   std::size_t MissingMembers(const PlannedReplica& aReplica) const;
-  /// @return whether the engine can be part of the model without loading weights.
+  /// @return whether the engine can join a replica of the model without loading weights.
   bool IsQuick(const EngineRecord& aEngine, const std::string& aModel) const;
-  /// @return engines in open replicas of a model against its share.
+  /// @return the number of engines in open replicas of a model, relative to its share.
   double OpenShare(const std::string& aModel) const;
-  /// @return whether a repair may begin with an engine that has to load weights first.
+  /// @return whether a repair may start with an engine that has to load weights first.
   bool WaitsForLoads() const;
   /// @return whether enough free engines of a domain are ready for a new replica of a model.
   bool EnoughForNew(const std::string& aDomain, const ModelSpec& aModel) const;
-  /// Weights of another model onto the hosts of members, so that survivors can change models.
+  /// Loads weights of another model onto the hosts of members, so that survivors can change models.
   void StageAhead();
-  /// @return whether weights are to be loaded ahead onto hosts of a domain.
+  /// @return whether weights are loaded ahead onto hosts of a domain.
   bool LoadsAheadIn(const std::string& aDomain) const;
   bool Repair(PlannedReplica& aReplica);
   bool AnyUsable(const PlannedReplica& aReplica) const;
   void FormNew();
-  /// @return a replica's name that no other holder of the lease and no other pool gives.
+  /// @return a replica name that is unique across holders of the lease and pools.
   std::string NewName();
   void CareForSpares();
   std::string SpareModelFor(const EngineRecord& aEngine,
                             const std::map<std::string, int>& aStandby) const;
 
-  /// Engines of a domain that may join the group of this name, cheapest to join the model first.
+  /// Engines of a domain that may join the named group, the cheapest to join the model first.
   std::vector<const EngineRecord*> FreeEngines(const std::string& aDomain,
                                                const std::string& aModel,
                                                const std::string& aGroup) const;
-  /// @return whether an engine is in no replica, neither by plan nor by its own word.
+  /// @return whether an engine is in no replica, neither by plan nor by its own statement.
   bool IsFree(const EngineRecord& aEngine) const;
-  /// The newest place that is known of an engine, by whichever of its words.
+  /// The newest known position of an engine, from its answers, reports and registration.
   const GroupPlace& PlaceOf(const EngineRecord& aEngine) const;
-  /// @return whether by its own word an engine is in a replica other than the named one.
+  /// @return whether the engine itself states that it is in a replica other than the named one.
   bool IsElsewhere(const EngineRecord& aEngine, const std::string& aGroup) const;
-  /// @return whether an engine is planned for broken replicas only, and by its own word elsewhere.
+  /// @return whether an engine is planned for broken replicas only, and states that it is in
+  /// another.
   bool IsAwayFromItsReplicas(const EngineRecord& aEngine) const;
   void Dismiss(const EngineRecord& aEngine);
   void StageOther(const EngineRecord& aEngine, const std::string& aModel);
-  /// @return whether a join to another group than this may still be carried out at the engine.
+  /// @return whether the engine may still carry out a join to another group than this.
   bool InDoubt(const std::string& aEngine, const std::string& aGroup) const;
   Duration JoinTime(const EngineRecord& aEngine, const std::string& aModel) const;
   Duration LoadTime(const std::string& aModel) const;
   bool InReplica(const std::string& aEngine) const { return InOtherReplica(aEngine, ""); }
   bool InOtherReplica(const std::string& aEngine, const std::string& aName) const;
   void SetMembers(PlannedReplica& aReplica, std::vector<std::string> aMembers);
-  /// Keep mReplicasOf in step with a replica's members.
+  /// Keep mReplicasOf consistent with a replica's members.
   void AddToIndex(const PlannedReplica& aReplica);
   void RemoveFromIndex(const PlannedReplica& aReplica);
   void Begin(PlannedReplica& aReplica, std::vector<std::string> aMembers);
-  /// @return whether an order of this kind may be given to the engine now.
+  /// @return whether an order of this kind may be sent to the engine now.
   bool IsDue(const std::string& aEngine, GroupOrderKind aKind) const;
   bool Give(GroupOrder aOrder);
-  /// Let the engine refuse a join that was decided on an old view of it.
+  /// Makes the engine refuse a join that was planned on outdated state of it.
   bool Guard(GroupOrder& aOrder);
-  /// Let the engine refuse an order if it is not in the state that is known of it.
-  /// @return false while that is not known; the engine is asked.
+  /// Makes the engine refuse an order unless it is in the known state.
+  /// @return false while that state is unknown; the engine is queried.
   bool NameAccepted(GroupOrder& aOrder);
-  /// A replica is broken when a member says that it is in none, or in another.
+  /// Marks a replica as broken if a member states that it is in no replica or in another one.
   void BreakIfElsewhere(const std::string& aEngine, const GroupPlace& aPlace, TimePoint aNow);
-  /// @return whether a join may begin now, should it have to bring weights from their store.
+  /// @return whether a join may start now, considering the rate limit if it has to load weights.
   bool MayBringWeights(const GroupOrder& aOrder);
   Duration RepeatAfter(const GroupOrder& aOrder, OrderAnswer aAnswer, bool aLoads) const;
   bool MayLoad();
 
   GroupPlannerOptions mOptions;
   std::map<std::string, PlannedReplica> mReplicas;
-  /// Engine to the names of replicas that it is planned for. Looking through all replicas for each
-  /// engine of a round made a round's time grow with the square of the pool.
+  /// Names of the replicas that an engine is planned for, by engine. Without this index, each round
+  /// searched all replicas for each engine, and its time grew with the square of the pool size.
   std::unordered_map<std::string, std::set<std::string>> mReplicasOf;
-  /// Replicas that were given up while they served, by name. Their engines' registrations go on
-  /// naming them until they have left, and taken up again each would serve and be given up anew.
+  /// Replicas that were given up while they served, by name. Registrations of their engines name
+  /// them until the engines have left. Without this record, such a replica would be adopted and
+  /// given up again.
   std::map<std::string, GivenUp> mGivenUp;
   std::map<std::string, Trade> mTrades; ///< by domain
   std::vector<CompositionChange> mChanges;
-  std::set<std::string> mDomainsWithLosses; ///< in this tenure, replicas of them have broken
+  std::set<std::string> mDomainsWithLosses; ///< domains with replicas that broke in this tenure
   PlaceUse mPlaceUse;
   std::vector<ModelUse> mUses;
   TimePoint mUseDue{};
   std::map<std::string, Spare> mSpares;
   std::map<std::string, Pending> mPending;
-  std::map<std::string, Staging> mStaging;              ///< engines told to stage, until they have
-  std::map<std::string, std::string> mLastModel;        ///< of the last group that an engine was in
-  std::unordered_map<std::string, EngineState> mStates; ///< of the newest starts, by engine
-  /// Engines that were supposed to have accepted no order yet, without being asked. Once each: one
-  /// that has, and looks new all the same, would be sent a join that it refuses for ever.
+  std::map<std::string, Staging> mStaging;       ///< by engine: weights ordered but not yet staged
+  std::map<std::string, std::string> mLastModel; ///< by engine: model of its last group
+  std::unordered_map<std::string, EngineState> mStates; ///< of the newest incarnations, by engine
+  /// Engines assumed, without a query, to have accepted no order yet. Each is assumed so only once:
+  /// an engine that looks new but has accepted orders would otherwise be sent a join that it always
+  /// refuses.
   std::set<std::string> mTakenForNew;
   std::map<std::string, EngineRecord> mWanted;
-  std::map<std::string, EngineRecord> mKnown; ///< members, as they were listed last
+  std::map<std::string, EngineRecord> mKnown; ///< members, with their last listed record
   std::map<std::string, TimePoint> mAnsweredAt;
   std::map<std::string, LostJoin> mLostJoins; ///< by engine
   std::set<std::string> mUnanswering;
-  /// Engines whose address belongs to another engine by that one's own word. They come back only
-  /// by starting again; until then, whatever answers questions there is not they.
+  /// Engines whose address belongs to another engine, as stated by that engine. They return only by
+  /// a restart; until then, answers from the address are not theirs.
   std::set<std::string> mGone;
-  std::unordered_map<std::string, Start> mStarts; ///< the newest known, by engine
+  std::unordered_map<std::string, Start> mStarts; ///< newest known incarnation, by engine
   TimePoint mForgetDue{};
-  std::vector<TimePoint> mLoads;                     ///< begun in the last second
+  std::vector<TimePoint> mLoads;                     ///< started in the last second
   std::map<std::string, std::uint64_t> mLoadCounted; ///< by engine: epoch of the join that loads
   std::uint64_t mCounter = 0;
   std::uint64_t mNames = 0;
   std::size_t mSeenEngines = 0;
   TimePoint mLastNew{};
-  const GroupView* mView = nullptr;                                  ///< of the round in progress
-  std::map<std::string, std::vector<const EngineRecord*>> mByDomain; ///< the round's engines
+  const GroupView* mView = nullptr; ///< input of the current round
+  std::map<std::string, std::vector<const EngineRecord*>>
+    mByDomain; ///< engines of the current round
   mutable std::size_t mLookedAt = 0;
   std::vector<GroupOrder> mOrders;
 };
--- a/include/pepperbay/placement/orders.hpp
+++ b/include/pepperbay/placement/orders.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Folded assignments against what hosts say: the orders that bring the two together.
+/// @brief Compares folded assignments with the reports of hosts and derives the orders to hosts.
 #pragma once
 
 #include "pepperbay/placement/planner.hpp"
@@ -16,7 +16,7 @@
   kUnload,
 };
 
-/// One order to one host. Orders are idempotent: the same one given twice changes nothing.
+/// One order to one host. Orders are idempotent.
 struct HostOrder
 {
   OrderKind mKind = OrderKind::kLoad;
@@ -35,21 +35,22 @@
   Duration mFreshness = std::chrono::seconds(2);
   Duration mLease = std::chrono::seconds(6);
   Duration mOrderTimeout = std::chrono::seconds(2);
-  int mLoadsAtOnce = 8; ///< what the weight store can serve
+  int mLoadsAtOnce = 8; ///< what the weight store can serve at once
 };
 
-/// Finds the orders that are due and spaces repeats. Pure.
+/// Finds the orders that are due and limits how often they are repeated. Pure.
 ///
-/// Towards hosts that ignore fencing numbers a new holder first waits for lease and order timeout
-/// together, so that an order of its predecessor cannot come after its own, and acts only on what
-/// such a host has said since. What stays open: a predecessor that pauses between its last check of
-/// the lease and the send for longer than that. The wholeness probe then takes the replica out.
+/// For hosts that ignore fencing numbers, a new holder of the lease first waits for the lease
+/// duration plus the order timeout, so that no order of its predecessor can arrive after its own.
+/// It acts only on what such a host has reported since. One case remains: a predecessor that pauses
+/// for longer than this between its last check of the lease and sending an order. The probe for
+/// complete replicas then takes the affected replica out of service.
 class OrderPlan
 {
 public:
   explicit OrderPlan(OrderOptions aOptions);
 
-  /// @param aInput as for the planner; mDrained is not used
+  /// @param aInput same as for the planner; mDrained is not used
   std::vector<HostOrder> Due(const PlanInput& aInput);
 
 private:
--- a/include/pepperbay/placement/planner.hpp
+++ b/include/pepperbay/placement/planner.hpp
@@ -1,8 +1,9 @@
 /// @file
-/// @brief Hosts to whole replicas: growth, repair, planned stops and changes of version.
+/// @brief Assigns hosts to whole replicas: growth, repair, planned stops and version changes.
 ///
-/// Run by the holder of a data centre's control lease only. It decides; the fold judges the records
-/// and orders.hpp turns folded assignments into orders to hosts.
+/// Run only by the holder of a data centre's control lease. The planner proposes records, the fold
+/// (the state built from the log) accepts or rejects them, and orders.hpp derives orders to hosts
+/// from folded assignments. A replica is whole if all its members serve together.
 #pragma once
 
 #include "pepperbay/membership/evidence.hpp"
@@ -27,7 +28,7 @@
   bool mLeaving = false; ///< announced by the platform or by an operator
 };
 
-/// What may be done about a replica with lost members.
+/// The choices for a replica with lost members.
 enum class RepairChoice
 {
   kWait,
@@ -39,26 +40,26 @@
 struct RepairCase;
 struct PlannerOptions;
 
-/// How to judge one broken replica; see ChooseRepair().
+/// Chooses the repair of one broken replica; see ChooseRepair().
 using RepairPolicy = std::function<RepairChoice(const RepairCase&, const PlannerOptions&)>;
 
 struct PlannerOptions
 {
   RepairPolicy mRepair;   ///< ChooseRepair() when empty
-  bool mFirstFit = false; ///< take the first domain with room, for comparison
+  bool mFirstFit = false; ///< choose the first domain with room; for comparison in benchmarks
 
   double mDowntimeWeight = 2.0; ///< cost of a replica-second of downtime
-  double mStrandedWeight = 1.0; ///< cost of an accelerator-second stranded
+  double mStrandedWeight = 1.0; ///< cost of one unusable accelerator-second
   Duration mBlip = std::chrono::seconds(5);
   Duration mLoadTime = std::chrono::seconds(60);
   Duration mFreshness = std::chrono::seconds(2);
-  bool mReserve = true;                  ///< keep reservations of spares in the log
-  double mBlipShare = 0.8;               ///< silences that end within mBlip, as a share
-  double mHostFailuresPerHour = 0.00026; ///< 45 a day among 7,300
-  double mHostRepairHours = 4.0;         ///< until a failed host is back
+  bool mReserve = true;                  ///< write reservations of spares to the log
+  double mBlipShare = 0.8;               ///< fraction of silences that end within mBlip
+  double mHostFailuresPerHour = 0.00026; ///< 45 per day among 7,300 hosts
+  double mHostRepairHours = 4.0;         ///< until a failed host is available again
 };
 
-/// All that one round of planning looks at.
+/// The input of one planning round.
 struct PlanInput
 {
   const State* mState = nullptr;
@@ -66,57 +67,60 @@
   std::vector<HostView> mHosts; ///< of this data centre
   std::string mScope;           ///< the data centre
   std::uint64_t mFence = 0;
-  TimePoint mHeldSince{}; ///< evidence from before this tenure is not acted on
+  TimePoint mHeldSince{}; ///< start of this tenure; older evidence is ignored
   TimePoint mNow{};
-  /// Every node has confirmed that nothing is in progress on this generation.
+  /// Returns whether every node has confirmed that no request is in progress on this generation.
   std::function<bool(const std::string& aReplica, std::uint64_t aGeneration)> mDrained;
 };
 
-/// What a round decided, and why what is broken stays so.
+/// The result of one planning round, with the reasons why broken replicas stay broken.
 struct PlanOutcome
 {
-  std::vector<proto::Record> mRecords;         ///< bodies; ids are the appender's
+  std::vector<proto::Record> mRecords;         ///< record bodies; the appender assigns the ids
   std::map<std::string, std::string> mWaiting; ///< replica or profile to reason
   int mSpares = 0;                             ///< usable hosts in no replica
 };
 
-/// The state of a replica that matters to its repair.
+/// The state of a broken replica that determines its repair.
 struct RepairCase
 {
   Duration mSilentFor{ 0 };
-  bool mProcessGone = false; ///< nothing listens: it comes back empty and must load anyway
+  bool mProcessGone =
+    false; ///< nothing listens: it restarts empty and has to load the weights anyway
   std::size_t mLost = 1;
   std::size_t mSize = 4;
-  std::uint32_t mAccelerators = 4; ///< of one host
+  std::uint32_t mAccelerators = 4; ///< per host
   std::size_t mSparesInDomain = 0;
-  bool mDonorInDomain = false; ///< another broken replica, of no greater worth
-  bool mRoomElsewhere = false; ///< another domain could hold a whole new replica
+  bool mDonorInDomain = false; ///< another broken replica of the same or lower value
+  bool mRoomElsewhere = false; ///< another domain has room for a whole new replica
 };
 
-/// The cheapest choice by expected group downtime and stranded accelerators.
+/// Returns the cheapest choice by expected replica downtime and unusable accelerators.
 ///
-/// Waiting costs the rest of the blip and, when the host does not return, the load after it. A
-/// repair costs one load. Both cost the replica's downtime and strand the members that are left.
+/// Waiting costs the rest of the blip and, if the host does not return, the weight load after it. A
+/// repair costs one load. Both cost the replica's downtime and leave the remaining members unusable
+/// meanwhile.
 RepairChoice
 ChooseRepair(const RepairCase& aCase, const PlannerOptions& aOptions);
 
-/// @return how many free hosts of a domain are worth keeping idle for repairs.
+/// @return the number of free hosts of a domain to keep idle for repairs.
 std::size_t
 SparesWorthKeeping(std::size_t aHostsInUse,
                    std::size_t aReplicaSize,
                    std::uint32_t aAccelerators,
                    const PlannerOptions& aOptions);
 
-/// Remembers how long hosts have been silent; everything else is in the input.
+/// Plans replicas round by round. Its only state is since when each host has been silent.
 class Planner
 {
 public:
   explicit Planner(const PlannerOptions& aOptions);
 
-  /// Decide one round. Call again once the records of the last round are folded or refused.
+  /// Plans one round. Call again once the records of the last round are folded or refused.
   PlanOutcome Plan(const PlanInput& aInput);
 
-  /// While the log is out: reservations that should be carried out now; see reserves.hpp.
+  /// While the log is unavailable: the reservations that should be carried out now; see
+  /// reserves.hpp.
   std::vector<proto::Assign> PlanOutage(const PlanInput& aInput);
 
 private:
--- a/src/pepperbay/placement/composition.cpp
+++ b/src/pepperbay/placement/composition.cpp
@@ -7,7 +7,7 @@
 namespace pepperbay {
 namespace {
 
-/// Replicas of one model that become replicas of another.
+/// Numbers of replicas when replicas of one model become replicas of another.
 struct Conversion
 {
   std::size_t mGives = 1;
@@ -37,7 +37,7 @@
   const bool wants = before >= aOptions.mShort ||
                      (aOptions.mPolicy == CompositionPolicy::kEven && before >= aOptions.mEnough);
   const double after = PartInUse(aFrom, aSlots, conversion.mGives);
-  // One more may be lost at any moment, and its callers must find places at the others.
+  // Another replica may be lost at any moment; the remaining ones must have slots for its requests.
   const double afterLoss = PartInUse(aFrom, aSlots, conversion.mGives + 1);
   return wants && after <= aOptions.mMostAfterGiving && afterLoss <= 1.0 &&
          before - after >= aOptions.mLeastGain;
--- a/src/pepperbay/placement/engine_state.cpp
+++ b/src/pepperbay/placement/engine_state.cpp
@@ -68,7 +68,7 @@
     case GroupOrderKind::kStage:
       break;
   }
-  // One that is still in progress is answered as begun again.
+  // An order that is still in progress is answered with kBegun again.
   return aAnswer == OrderAnswer::kBegun ? OrderProof::kAccepted : OrderProof::kAlreadySo;
 }
 
@@ -76,9 +76,10 @@
 EngineState::ProofOfJoin(const GroupOrder& aOrder, OrderAnswer aAnswer) const
 {
   if (aOrder.mEpoch < mPlace.mEpoch || aOrder.mEpoch <= mLeft) {
-    return OrderProof::kIgnored; // a late answer; the engine has been elsewhere since
+    return OrderProof::kIgnored; // a late answer; the engine has moved since
   }
-  // A join that names a number is given only where the engine is not in that membership with it.
+  // A join that carries a number is sent only if the engine is not in that membership at that
+  // number.
   return aAnswer == OrderAnswer::kBegun && aOrder.mAccepted ? OrderProof::kDone
                                                             : OrderProof::kAlreadySo;
 }
@@ -86,9 +87,9 @@
 OrderProof
 EngineState::ProofOfLeave(const GroupOrder& aOrder) const
 {
-  // An engine answers alike whether it has left by this order, had left before, or is in a newer
-  // membership, which the order does not concern. Taken as left in the last case, it would be
-  // ordered elsewhere while it serves.
+  // An engine gives the same answer if it left by this order, had left before, or is in a newer
+  // membership that the order does not concern. If the last case counted as having left, the engine
+  // would be ordered into another replica while it serves.
   if (IsIn(aOrder.mGroup, aOrder.mEpoch)) {
     return aOrder.mAccepted ? OrderProof::kDone : OrderProof::kAlreadySo;
   }
@@ -101,8 +102,8 @@
   const OrderProof proof = ProofOf(aOrder, aAnswer);
   switch (proof) {
     case OrderProof::kDone:
-      // The engine had accepted exactly the number that the order names, so it was where it was
-      // known to be with that number, and is where the order has it now.
+      // The engine had accepted exactly the number of orders that the order carries, so it was at
+      // the known position that belongs to that number and is now at the ordered one.
       Apply(aOrder);
       mAccepted = *aOrder.mAccepted + 1;
       mExact = true;
@@ -178,7 +179,7 @@
   const bool fewer = mExact ? aAccepted < mAccepted : aNow < mLeastUntil && aAccepted < mLeast;
   const bool older = !aPlace.mName.empty() && aPlace.mEpoch < mPlace.mEpoch;
   if (fewer || older) {
-    return; // of before what is known
+    return; // older than the known state
   }
   mPlace = aPlace;
   mAccepted = aAccepted;
@@ -189,7 +190,7 @@
 EngineState::OnRegistration(const GroupPlace& aPlace)
 {
   if (aPlace.mName == mRegistered.mName && aPlace.mEpoch == mRegistered.mEpoch) {
-    return; // it says what it said before, which may have been long ago
+    return; // unchanged, so possibly long out of date
   }
   mRegistered = aPlace;
   if (!aPlace.mName.empty() && aPlace.mEpoch > std::max(mLeft, mPlace.mEpoch)) {
--- a/src/pepperbay/placement/group_planner.cpp
+++ b/src/pepperbay/placement/group_planner.cpp
@@ -120,7 +120,7 @@
       const auto known = mKnown.find(it);
       if (listed != nullptr) {
         members[it] = *listed;
-        mAnsweredAt[it] = mView->mNow; // being listed is as good as an answer
+        mAnsweredAt[it] = mView->mNow; // a listing counts as an answer
       } else if (known != mKnown.end()) {
         members[it] = known->second;
         mWanted[it] = known->second;
@@ -169,7 +169,7 @@
     }
     ++n;
     const GroupPlace& place = engine.mGroup;
-    // A registration that stands still would bring back a replica that its engines have left.
+    // An outdated registration would bring back a replica that its engines have left.
     const GroupPlace& newest = PlaceOf(engine);
     const bool outdated = place.mName != newest.mName || place.mEpoch != newest.mEpoch;
     if (place.mName.empty() || outdated || !OfNewestStart(id, engine.mBorn)) {
@@ -180,7 +180,7 @@
     }
     if (IsSpareGroup(place.mName)) {
       if (mLastModel[id].empty()) {
-        continue; // still joining for an earlier holder; it is given a model anew
+        continue; // still joining by order of an earlier holder; it is assigned a model again
       }
       auto& spare = mSpares[id];
       if (place.mEpoch >= spare.mEpoch) {
@@ -211,7 +211,7 @@
     }
     const bool fresh = engine.mGroup.mName.empty() && engine.mStagedModels.empty();
     if (fresh && mTakenForNew.insert(id).second) {
-      mStates[id] = EngineState::JustStarted(); // if it has not, it refuses and is asked
+      mStates[id] = EngineState::JustStarted(); // otherwise it refuses and is queried
     } else if (Usable(engine)) {
       mWanted[id] = engine;
     }
@@ -235,7 +235,7 @@
   }
   std::vector<const EngineRecord*> members;
   for (const auto* it : aMembers) {
-    // Registrations are a little old: an engine that has been ordered elsewhere since is no member.
+    // Registrations lag: an engine that has been ordered into another group since is not a member.
     if (it->mGroup.mEpoch == epoch && !InOtherReplica(it->mId, aName)) {
       members.push_back(it);
     }
@@ -257,7 +257,7 @@
     if (same && head.mGroup.mPhase == GroupPhase::kBroken) {
       Break(replica, "the head says that it is broken", mView->mNow);
     } else if (same && members.size() > replica.mMembers.size()) {
-      SetMembers(replica, IdsOf(members)); // one whose registration had lapsed is back
+      SetMembers(replica, IdsOf(members)); // a member whose registration had lapsed is listed again
     }
     return;
   }
@@ -266,22 +266,23 @@
   replica.mEpoch = epoch;
   replica.mModel = mLastModel[head.mId];
   replica.mDomain = head.mDomain;
-  // It has been so for an unknown time; a head that says it is open serves already.
+  // The replica has been in this state for an unknown time; a head that states that it is open
+  // serves already.
   replica.mSince = mView->mNow - mView->mPool->mFormTime;
   replica.mMembers = IdsOf(members);
   const ModelSpec* model = mView->mPool->FindModel(replica.mModel);
   if (model == nullptr) {
-    return; // of a model that the configuration does not have
+    return; // the model is not in the configuration
   }
   const bool whole = members.size() == model->mSize && headListed;
   const bool open = head.mGroup.mPhase == GroupPhase::kOpen;
-  // A head that says it is open works on without a member that is not listed, until it says
-  // otherwise; Judge() finds the member missing.
+  // A head that states that it is open keeps working without an unlisted member until it states
+  // otherwise. Judge() finds the missing member.
   replica.mPhase = headListed && open ? ReplicaPhase::kOpen : ReplicaPhase::kBroken;
   replica.mWhy = whole ? "found not open" : "found without all members";
   replica.mHeadUnknown = !headListed;
   if (known != mReplicas.end()) {
-    // Another holder has formed it anew, perhaps without some members; they are free.
+    // Another holder has re-formed it, perhaps without some members; those are free.
     RemoveFromIndex(known->second);
   }
   AddToIndex(replica);
@@ -307,7 +308,7 @@
   const ModelSpec* model = mView->mPool->FindModel(aReplica.mModel);
   const bool all = model == nullptr || aReplica.mMembers.size() >= model->mSize;
   if (!silent && !all) {
-    // Its registration may have lapsed in a pause.
+    // The member's registration may have lapsed in a pause.
     const bool waited =
       aReplica.mLeavingSince && mView->mNow - *aReplica.mLeavingSince >= mOptions.mPauseMost;
     return LostMember{ "that is not listed", waited };
@@ -324,11 +325,12 @@
   }
   const auto answered = mAnsweredAt.find(aMember);
   if (answered == mAnsweredAt.end()) {
-    return true; // of a start that has been replaced
+    return true; // a stale incarnation
   }
   const EngineRecord* engine = Find(aMember);
   if (engine == nullptr) {
-    // No registration and no answer: the platform and this node have both lost it.
+    // Neither a registration nor an answer: both the platform and this node have lost contact with
+    // it.
     return mView->mNow - answered->second >= mOptions.mUnlistedAnswers + mOptions.mPauseMost;
   }
   return mGone.count(aMember) != 0 || engine->mService != mView->mService ||
@@ -348,7 +350,7 @@
 bool
 GroupPlanner::IsToLeave(const PlannedReplica& aReplica) const
 {
-  // Requests may not go to an engine whose registration is gone, and they go to the head.
+  // Requests must not go to an engine without a registration, and they go to the head.
   if (aReplica.mGivenUp || FindListed(aReplica.mMembers.front()) == nullptr) {
     return true;
   }
@@ -385,7 +387,7 @@
     aReplica.mLeavingSince = mView->mNow;
   }
   aReplica.mWhy = why;
-  // A member that is only silent may go on, and all streams with it.
+  // A member that is only silent may continue, and all streams with it.
   const bool mayGoOn = lost && !lost->mEnded;
   if (!mayGoOn && !WorksOn(aReplica)) {
     Break(aReplica, std::move(why), mView->mNow);
@@ -395,9 +397,9 @@
 bool
 GroupPlanner::WorksOn(const PlannedReplica& aReplica) const
 {
-  // The first member that joins anew ends the group, and with it every stream that is being
-  // written there. A member that has stopped listening works on for its head until that has
-  // nothing in progress; one that has died shows by streams that stand still.
+  // The first member that joins again ends the group and all its streams in progress. A member that
+  // stopped listening keeps working until its head has no requests in progress; a member that has
+  // exited shows by streams that make no progress.
   const std::string& head = aReplica.mMembers.front();
   const bool standsStill = aReplica.mMemberLost && mView->mStandsStill(head);
   const bool waited = mView->mNow - *aReplica.mLeavingSince >= mOptions.mDrainMost;
@@ -445,10 +447,10 @@
 bool
 GroupPlanner::InDoubt(const std::string& aEngine, const std::string& aGroup) const
 {
-  // An engine that left a join unanswered may carry it out seconds later. Ordered elsewhere in the
-  // meantime, it could enter the first replica and, before its registration shows that, be taken
-  // out of it again by the second join while that replica serves. Any join that it answers makes
-  // the late one too old to be carried out.
+  // An engine that left a join unanswered may carry it out seconds later. If it were ordered
+  // elsewhere meanwhile, it could enter the first replica, and the second join could then take it
+  // out while that replica serves, before its registration shows the first join. Once the engine
+  // answers any join, the late one is too old to be carried out.
   const auto it = mLostJoins.find(aEngine);
   return it != mLostJoins.end() && it->second.mGroup != aGroup && mView->mNow < it->second.mUntil;
 }
--- a/src/pepperbay/placement/group_planner_composition.cpp
+++ b/src/pepperbay/placement/group_planner_composition.cpp
@@ -7,7 +7,8 @@
 namespace pepperbay {
 namespace {
 
-/// Nodes tell what they have in progress this often; looking more often shows nothing new.
+/// Nodes report their requests in progress at this interval; observing more often yields nothing
+/// new.
 constexpr std::chrono::milliseconds kObserveEvery{ 200 };
 
 } // namespace
@@ -60,7 +61,7 @@
   if (answer <= Duration::zero()) {
     return inFlight;
   }
-  // Slots that the limit never fills look idle, and are nobody's to use.
+  // Slots that the rate limit never fills look idle but cannot be used.
   const int slots = mView->mPool->mSlots;
   const double fills = *limit * std::chrono::duration<double>(answer).count();
   const int lost = slots - static_cast<int>(std::min<double>(slots, std::ceil(fills)));
@@ -71,7 +72,7 @@
 GroupPlanner::ObserveUse()
 {
   for (auto it = mTrades.begin(); it != mTrades.end();) {
-    // The configuration may have dropped the model that the engines were given up for.
+    // The configuration may no longer contain the model that the engines were released for.
     const bool over =
       mView->mNow >= it->second.mUntil || mView->mPool->FindModel(it->second.mTo) == nullptr;
     it = over ? mTrades.erase(it) : std::next(it);
@@ -147,7 +148,7 @@
 std::vector<PlannedReplica*>
 GroupPlanner::TradeDonors(const std::string& aDomain, const ModelSpec& aFrom, const ModelSpec& aTo)
 {
-  std::vector<std::pair<int, PlannedReplica*>> candidates; // requests in progress
+  std::vector<std::pair<int, PlannedReplica*>> candidates; // with their requests in progress
   for (auto& [name, replica] : mReplicas) {
     const bool serves = replica.mPhase == ReplicaPhase::kOpen && !replica.mLeavingSince;
     const bool broken = replica.mPhase == ReplicaPhase::kBroken && AnyUsable(replica) &&
--- a/src/pepperbay/placement/group_planner_constants.hpp
+++ b/src/pepperbay/placement/group_planner_constants.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief What the parts of the planner of groups agree on.
+/// @brief Constants shared by the sources of the group planner.
 #pragma once
 
 #include "pepperbay/base/clock.hpp"
@@ -9,17 +9,18 @@
 
 namespace pepperbay {
 
-/// Epochs of one tenure follow its fencing number, so every order of a later holder goes before
-/// every order of an earlier one. A tenure gives fewer orders than this.
+/// The epochs of one tenure start at a multiple of its fencing number, so orders of a later holder
+/// override those of earlier ones. A tenure gives fewer orders than this.
 constexpr std::uint64_t kEpochsPerFence = 100000;
 
-/// Groups of a single engine that is never opened: a spare that is 200 ms away from a replica.
+/// Name prefix of the one-engine groups of spares, which are never opened. Such a spare joins a
+/// replica in 200 ms.
 constexpr const char* kSparePrefix = "spare-";
 
-/// A join of an engine whose last group was of the same model; measured.
+/// Measured duration of a join of an engine whose last group was of the same model.
 constexpr std::chrono::milliseconds kRejoinTime{ 200 };
 
-/// Loads of weights are counted over this time against the weight store's rate a second.
+/// Window in which weight loads are counted against the weight store's rate limit per second.
 constexpr std::chrono::seconds kLoadWindow{ 1 };
 
 inline bool
--- a/src/pepperbay/placement/group_planner_orders.cpp
+++ b/src/pepperbay/placement/group_planner_orders.cpp
@@ -46,7 +46,7 @@
     }
     NoteReadiness(replica);
     if (replica.AllReady()) {
-      Open(replica); // before any joins: a round may give only so many orders
+      Open(replica); // before any joins: the number of orders per round is limited
     } else {
       joining.push_back(&replica);
     }
@@ -112,9 +112,10 @@
 bool
 GroupPlanner::MayBringWeights(const GroupOrder& aOrder)
 {
-  // After a whole domain or more has restarted, the joins of its replicas would begin as many loads
-  // as there are engines at once; the store of weights then serves none of them in time. Counted
-  // one by one in the order of the replicas, the first replicas are whole while others still wait.
+  // After the restart of a whole domain or more, the joins of its replicas would start one load per
+  // engine at once, and the weight store would complete none of them in time. Loads are therefore
+  // counted one by one in the order of the replicas, so that the first replicas become whole while
+  // others still wait.
   const EngineRecord& engine = *Find(aOrder.mEngine);
   const auto staging = mStaging.find(aOrder.mEngine);
   const bool onItsWay = staging != mStaging.end() && staging->second.mModel == aOrder.mModel;
@@ -123,7 +124,7 @@
   }
   std::uint64_t& counted = mLoadCounted[aOrder.mEngine];
   if (counted == aOrder.mEpoch) {
-    return true; // a repeat
+    return true; // a repeated order, already counted
   }
   if (!MayLoad()) {
     return false;
@@ -135,11 +136,11 @@
 bool
 GroupPlanner::Guard(GroupOrder& aOrder)
 {
-  // Two holders can be at work for a moment, one of them with orders still on their way, and
-  // registrations are a little old. Decided on such a view, a join could take an engine out of a
-  // replica that has just opened. The engine itself refuses it when it has accepted any order that
-  // this holder does not know of. A repeat of a join that it has taken needs no guard: it changes
-  // nothing.
+  // Two holders can be active for a short time, one of them with orders in transit, and
+  // registrations lag. A join decided on outdated state could take an engine out of a replica that
+  // has just opened. The engine therefore refuses the join if it has accepted any order unknown to
+  // this holder. A repeat of a join that the engine has accepted changes nothing and needs no
+  // guard.
   const EngineState& state = mStates[aOrder.mEngine];
   if (state.IsIn(aOrder.mGroup, aOrder.mEpoch)) {
     return true;
@@ -170,7 +171,7 @@
 {
   const bool unknown = aAnswer == OrderAnswer::kNone || aAnswer == OrderAnswer::kUnread;
   if (!OfNewestStart(aOrder.mEngine, aOrder.mBorn)) {
-    // Only what may still come of it matters: a join without an answer may reach the new start.
+    // Only possible later effects matter: a join without an answer may reach the new incarnation.
     if (unknown && aOrder.mKind == GroupOrderKind::kJoin) {
       mLostJoins[aOrder.mEngine] = { aOrder.mGroup, aOrder.mEpoch, aNow + mOptions.mLateOrder };
     }
@@ -180,11 +181,11 @@
   pending.mWaiting = false;
   const bool taken = aAnswer == OrderAnswer::kBegun || aAnswer == OrderAnswer::kHolds;
   if (aOrder.mKind == GroupOrderKind::kStage && !taken) {
-    mStaging.erase(aOrder.mEngine); // no weights are known to be on their way; it is told again
+    mStaging.erase(aOrder.mEngine); // the transfer may not have started; the order is repeated
   }
   mStates[aOrder.mEngine].OnAnswer(aOrder, aAnswer, aNow);
   if (unknown) {
-    pending.mDue = aNow; // at once again: the effect may be there or not
+    pending.mDue = aNow; // repeat at once: the order may or may not have taken effect
     if (aOrder.mKind == GroupOrderKind::kJoin && !IsSpareGroup(aOrder.mGroup)) {
       mLostJoins[aOrder.mEngine] = { aOrder.mGroup, aOrder.mEpoch, aNow + mOptions.mLateOrder };
     }
@@ -203,13 +204,13 @@
     return;
   }
   if (aAnswer == OrderAnswer::kStale && current) {
-    // Something newer was ordered there; form anew under a later epoch.
+    // The engine has seen a newer order; re-form the replica under a later epoch.
     Break(replica->second, "an order was refused as stale by " + aOrder.mEngine, aNow);
     replica->second.mNotBefore = aNow + mOptions.mStalePause;
     return;
   }
   if (aOrder.mKind == GroupOrderKind::kLeave) {
-    return; // what follows from it, its state knows
+    return; // EngineState has handled the answer
   }
   if (aOrder.mKind == GroupOrderKind::kJoin) {
     const bool holds = aAnswer == OrderAnswer::kHolds;
@@ -246,7 +247,7 @@
     return mOptions.mRepeatOpen;
   }
   if (aOrder.mKind == GroupOrderKind::kStage) {
-    return mOptions.mAskLoaded; // refused while another load is under way, which takes seconds
+    return mOptions.mAskLoaded; // refused while another load is in progress, which takes seconds
   }
   if (aOrder.mKind == GroupOrderKind::kJoin && aAnswer == OrderAnswer::kBegun) {
     return aLoads ? mOptions.mAskLoaded : mOptions.mAskJoined;
@@ -258,7 +259,7 @@
 GroupPlanner::OnReport(const std::string& aEngine, const EngineReport& aReport, TimePoint aNow)
 {
   if (!OfNewestStart(aEngine, aReport.mBorn)) {
-    return; // reports are a little old: this one is of before the engine started again
+    return; // reports lag: this one is from before the engine's restart
   }
   NoteStart(aEngine, aReport.mBorn, aNow);
   mStates[aEngine].OnReport(aReport.mGroup, aReport.mAccepted, aNow);
@@ -276,8 +277,9 @@
 void
 GroupPlanner::BreakIfElsewhere(const std::string& aEngine, const GroupPlace& aPlace, TimePoint aNow)
 {
-  // A member that has started anew, or was ordered away by another holder, answers and does not
-  // work in the replica any more; its head stands still with every member seemingly alive.
+  // A member that has restarted, or that another holder has ordered away, still answers but no
+  // longer works in the replica. The head makes no progress although every member seems to be
+  // alive.
   const auto names = mReplicasOf.find(aEngine);
   if (names == mReplicasOf.end()) {
     return;
--- a/src/pepperbay/placement/group_planner_repair.cpp
+++ b/src/pepperbay/placement/group_planner_repair.cpp
@@ -27,7 +27,7 @@
       std::any_of(replica.mMembers.begin(),
                   replica.mMembers.end(),
                   [this](const std::string& aMember) { return Find(aMember) != nullptr; });
-    // Members that wait for a spare that does not come are worth more in another replica.
+    // Members that wait for a spare in vain are more useful in another replica.
     const bool hopeless = mView->mNow - replica.mSince >= mOptions.mGiveUpAfter;
     if (!anyListed || (!Repair(replica) && hopeless && AnyUsable(replica))) {
       done.push_back(name);
@@ -56,7 +56,8 @@
 GroupPlanner::IsQuick(const EngineRecord& aEngine, const std::string& aModel) const
 {
   const ModelSpec* model = mView->mPool->FindModel(aModel);
-  // A pool may state no time for joining with the weights on the host, or less than a rejoin takes.
+  // A pool may configure no time for joining with the weights on the host, or one below
+  // kRejoinTime.
   return model != nullptr &&
          JoinTime(aEngine, aModel) <= std::max<Duration>(model->mWarmupTime, kRejoinTime);
 }
@@ -78,10 +79,10 @@
   }
   std::vector<std::string> members = Survivors(aReplica);
   if (members.empty()) {
-    return false; // nothing to keep together; its engines are free once they are back
+    return false; // nothing to keep; its engines are free once they return
   }
-  // An engine whose registration is gone may be about to stop listening; seconds later its head
-  // would refuse everything. It is taken where there is no other.
+  // An engine without a registration may be about to stop listening, and seconds later its head
+  // would refuse all requests. It is used only if there is no other.
   const auto unlisted =
     std::stable_partition(members.begin(), members.end(), [this](const std::string& aMember) {
       return FindListed(aMember) != nullptr;
@@ -91,8 +92,8 @@
   members.resize(std::min(members.size(), model->mSize));
   const auto free = FreeEngines(aReplica.mDomain, aReplica.mModel, aReplica.mName);
   for (const auto* it : free) {
-    // An engine that has to load weights would hold the others for so long; it loads by itself, as
-    // a spare, and joins whichever replica needs it then.
+    // An engine that has to load weights would keep the other members waiting meanwhile. It loads
+    // as a spare instead and then joins whichever replica needs it.
     const bool takes = WaitsForLoads() || IsQuick(*it, aReplica.mModel);
     if (members.size() < model->mSize && takes) {
       members.push_back(it->mId);
@@ -154,8 +155,8 @@
   if (WaitsForLoads() || mOptions.mSpares != SparePolicy::kStandbyForAll) {
     return true;
   }
-  // While requests come in, engines that still have to load are worth more as spares: they can go
-  // to whichever replica breaks next.
+  // While requests arrive, engines that still have to load are more useful as spares: they can join
+  // whichever replica breaks next.
   const auto free = FreeEngines(aDomain, aModel.mName, "");
   const auto quick = std::count_if(free.begin(), free.end(), [&](const EngineRecord* aEngine) {
     return IsQuick(*aEngine, aModel.mName);
@@ -193,7 +194,7 @@
   for (const auto& [name, replica] : mReplicas) {
     have[replica.mModel] += replica.mPhase != ReplicaPhase::kBroken || AnyUsable(replica) ? 1 : 0;
   }
-  std::set<std::string> waiting; // domains whose free engines are awaited by a broken replica
+  std::set<std::string> waiting; // domains where a broken replica waits for free engines
   for (const auto& [name, replica] : mReplicas) {
     if (MissingMembers(replica) > 0 && !WaitsForLoads()) {
       waiting.insert(replica.mDomain);
@@ -207,7 +208,7 @@
       static_cast<std::size_t>(std::ceil(static_cast<double>(domain.mAll) * mOptions.mSpareShare));
     while (domain.mFree > reserve) {
       const ModelSpec* best = MostShort(name, domain.mFree - reserve, all, have);
-      // Not another model in its place: the one that is short would never get its engines.
+      // No other model is formed instead: the model below its share would never get its engines.
       if (best == nullptr || !EnoughForNew(name, *best)) {
         break;
       }
--- a/src/pepperbay/placement/group_planner_spares.cpp
+++ b/src/pepperbay/placement/group_planner_spares.cpp
@@ -8,7 +8,7 @@
 void
 GroupPlanner::CareForSpares()
 {
-  std::map<std::string, std::map<std::string, int>> standby; // domain and model to spares
+  std::map<std::string, std::map<std::string, int>> standby; // number of spares by domain and model
   std::vector<const EngineRecord*> idle;
   for (const auto& [id, engine] : *mView->mEngines) {
     if (!Usable(engine) || engine.mDomain.empty()) {
@@ -132,8 +132,8 @@
 void
 GroupPlanner::StageOther(const EngineRecord& aEngine, const std::string& aModel)
 {
-  // A spare joins the model of its last group in 200 ms whatever its host holds. So the weights on
-  // the host can be those of another model, and one spare stands in for two.
+  // A spare joins the model of its last group in 200 ms whatever weights its host holds. The host
+  // can therefore hold the weights of another model, and one spare covers two models.
   for (const auto& it : mView->mPool->mModels) {
     if (it.mName == aModel || aEngine.HasStaged(it.mName) || mStaging.count(aEngine.mId) != 0) {
       continue;
@@ -156,8 +156,8 @@
 bool
 GroupPlanner::IsAwayFromItsReplicas(const EngineRecord& aEngine) const
 {
-  // A broken replica that lacks engines would keep one that can join only after it has left
-  // another.
+  // A broken replica that lacks engines would claim an engine that can join only after leaving
+  // another replica.
   const auto& names = mReplicasOf.at(aEngine.mId);
   return std::all_of(names.begin(), names.end(), [&](const std::string& aName) {
     return mReplicas.at(aName).mPhase == ReplicaPhase::kBroken && IsElsewhere(aEngine, aName);
@@ -167,8 +167,8 @@
 void
 GroupPlanner::Dismiss(const EngineRecord& aEngine)
 {
-  // It was replaced while nobody could reach it, and by its own word it still belongs to a replica
-  // that may serve. To order it elsewhere now would have it in two at once.
+  // The engine was replaced while it could not be reached, and it states that it still belongs to a
+  // replica that may serve. Ordering it elsewhere now would put it into two replicas at once.
   mSpares.erase(aEngine.mId);
   GroupOrder order;
   order.mKind = GroupOrderKind::kLeave;
@@ -183,10 +183,10 @@
 GroupPlanner::SpareModelFor(const EngineRecord& aEngine,
                             const std::map<std::string, int>& aStandby) const
 {
-  // A spare is worth most for the model whose members in its domain are most likely to be lost,
-  // which is the one with the most members for each spare that it has.
+  // A spare is most useful for the model whose members in its domain are most likely to be lost:
+  // the one with the most members per spare.
   std::map<std::string, std::size_t> members;
-  std::map<std::string, std::size_t> missing; // in replicas that wait for a spare
+  std::map<std::string, std::size_t> missing; // engines that replicas wait for
   for (const auto& [name, replica] : mReplicas) {
     if (replica.mDomain != aEngine.mDomain) {
       continue;
@@ -204,11 +204,11 @@
   }
   std::string best;
   double bestWorth = 0;
-  std::size_t bestSize = 0; // of equals the smaller model's: no model goes without a spare
+  std::size_t bestSize = 0; // ties go to the smaller model, so that no model is without a spare
   for (const auto& it : mView->mPool->mModels) {
     const auto n = members.find(it.mName);
     const auto have = aStandby.find(it.mName);
-    constexpr double kStagedWorth = 1.5; // a load saved outweighs a little evenness
+    constexpr double kStagedWorth = 1.5; // a saved load outweighs a slightly uneven distribution
     double worth = n == members.end() ? it.mShare : static_cast<double>(n->second);
     worth /= 1.0 + (have == aStandby.end() ? 0 : have->second);
     worth *= aEngine.HasStaged(it.mName) ? kStagedWorth : 1.0;
--- a/src/pepperbay/placement/group_planner_starts.cpp
+++ b/src/pepperbay/placement/group_planner_starts.cpp
@@ -4,7 +4,8 @@
 
 namespace pepperbay {
 namespace {
-/// Forgetting looks at all engines; once in this time is often enough for what is seconds old.
+/// Interval of the scan for engines to forget. It visits all engines, and entries expire after
+/// seconds only.
 constexpr std::chrono::seconds kForgetEvery{ 1 };
 
 constexpr std::array<GroupOrderKind, 4> kOrderKinds = { GroupOrderKind::kJoin,
@@ -57,9 +58,8 @@
   if (!again) {
     return;
   }
-  // A head whose member has started again goes on taking requests and nothing in it moves; one
-  // would see its streams stand still until it breaks, seconds later. The engine itself is as good
-  // as a new one with weights on its host.
+  // A head whose member has restarted keeps accepting requests that make no progress, until it
+  // breaks seconds later. The restarted engine itself is like a new one with weights on its host.
   ForgetStart(aEngine, aNow);
 }
 
@@ -76,10 +76,11 @@
   for (const auto kind : kOrderKinds) {
     mPending.erase(aEngine + " " + ToString(kind));
   }
-  // It has accepted no order yet. If another holder was quicker, it refuses ours and is asked.
+  // It has accepted no order yet. If another holder was faster, the engine refuses our order and is
+  // queried.
   mStates[aEngine] = EngineState::JustStarted();
   mTakenForNew.insert(aEngine);
-  // mLostJoins stays: an order to the former start that is carried out late reaches this one.
+  // mLostJoins is kept: a late order to the previous incarnation is carried out by this one.
   const auto names = mReplicasOf.find(aEngine);
   if (names == mReplicasOf.end()) {
     return;
--- a/src/pepperbay/placement/group_planner_survivors.cpp
+++ b/src/pepperbay/placement/group_planner_survivors.cpp
@@ -34,10 +34,10 @@
 void
 GroupPlanner::JoinSurvivors()
 {
-  // Where the spares of a domain are used up, several replicas wait there for weights, 12 to 24 s,
-  // with members that are well: three of four in one, one of two in another. Together they make a
-  // whole one in a second. One replica is given up at a time; its members leave it, and are then
-  // free engines like any other.
+  // If a domain has no spares left, several of its replicas wait 12 to 24 s for weights with
+  // healthy members, such as three of four in one and one of two in another. Together they form a
+  // whole replica in a second. One replica is given up at a time; its members leave it and are then
+  // ordinary free engines.
   std::map<std::string, std::vector<PlannedReplica*>> waiting; // by domain
   for (auto& [name, replica] : mReplicas) {
     const bool waits = replica.mPhase == ReplicaPhase::kBroken &&
@@ -96,7 +96,7 @@
                          Ready aReady) const
 {
   if (aMissing == 0) {
-    return nullptr; // its engines are there, or on their way
+    return nullptr; // its engines are available or being released
   }
   const PlannedReplica* best = nullptr;
   std::size_t bestSize = 0;
@@ -167,7 +167,7 @@
       continue;
     }
     if (replica.mGivenUp) {
-      return {}; // others are on their way already
+      return {}; // others are being released already
     }
     if (replica.mPhase != ReplicaPhase::kOpen || replica.mLeavingSince) {
       continue;
@@ -190,7 +190,8 @@
   for (const auto& it : candidates) {
     const std::string& model = it.mReplica->mModel;
     const double after = PlacesInUse(model, given[model] + 1);
-    // Beyond its places a model would lose as many callers as the other one gains.
+    // A model without enough remaining slots would refuse as many requests as the other model
+    // gains.
     const bool hasRoom =
       after <= mOptions.mRoomToGive || (after <= 1.0 && after < PlacesInUse(aTarget.mModel, 0));
     if (gives >= lacks || it.mReady == 0 || !hasRoom) {
@@ -201,7 +202,7 @@
     engines += it.mReplica->mMembers.size();
     donors.push_back(it.mReplica);
   }
-  // Fewer engines must stand still for it than would otherwise.
+  // The change must leave fewer engines idle than waiting would.
   const bool worth = gives >= lacks && engines < survivors + lacks;
   return worth ? donors : std::vector<PlannedReplica*>{};
 }
@@ -209,9 +210,9 @@
 void
 GroupPlanner::GiveUpServing()
 {
-  // Losses fall on the largest replicas first, and one engine short they are as dark as with none:
-  // fifteen engines wait for a sixteenth, 12 to 20 s where their domain has no spare left, while
-  // the smaller model has places that nobody uses. The engines that are left over become spares.
+  // Losses affect the largest replicas first, and a replica that lacks one engine cannot serve at
+  // all: fifteen engines wait for a sixteenth, 12 to 20 s if their domain has no spare left, while
+  // the smaller model has unused slots. The engines that are left over become spares.
   for (const auto& [name, target] : mReplicas) {
     const bool waits = target.mPhase == ReplicaPhase::kBroken && !target.mGivenUp &&
                        mView->mNow - target.mSince >= mOptions.mWaitForSpare &&
--- a/src/pepperbay/placement/orders.cpp
+++ b/src/pepperbay/placement/orders.cpp
@@ -5,7 +5,7 @@
 namespace pepperbay {
 namespace {
 
-/// A load that is due, with what decides its turn at the weight store.
+/// A load that is due, with the values that determine its order at the weight store.
 struct Candidate
 {
   HostOrder mOrder;
@@ -65,7 +65,7 @@
   const auto last = mOrderedAt.find(aHost.mHost);
   const bool spaced =
     last == mOrderedAt.end() || aInput.mNow - last->second >= mOptions.mOrderTimeout;
-  // Read back first: what the host said must be newer than the last order and than this tenure.
+  // The host's report must be newer than the last order and than the start of this tenure.
   const bool readBack = aWord.mSaidNoEarlier >= from &&
                         (last == mOrderedAt.end() || aWord.mSaidNoEarlier > last->second);
   return aInput.mNow >= from && spaced && readBack;
@@ -89,8 +89,8 @@
     }
     const proto::ReplicaState* replica = aInput.mState->ReplicaOfHost(host.mHost);
     const bool settled = replica != nullptr && Matches(said, replica->assign());
-    // An order shows in the host's word only later; until then it counts as a load under way, or
-    // the weight store would be asked for more at once than it can give.
+    // The host's report shows an order only later. Until then the order counts as a load in
+    // progress, so that the weight store is not asked for more loads at once than it can serve.
     const auto last = mOrderedAt.find(host.mHost);
     const bool unseen = last != mOrderedAt.end() && word->mSaidNoEarlier <= last->second &&
                         aInput.mNow - last->second < mOptions.mOrderTimeout;
--- a/src/pepperbay/placement/planner.cpp
+++ b/src/pepperbay/placement/planner.cpp
@@ -43,7 +43,7 @@
     return std::move(mOut);
   }
 
-  /// Repairs that only carry out reservations.
+  /// Returns repairs that only carry out reservations.
   std::vector<proto::Assign> RunOutage()
   {
     std::vector<proto::Assign> repairs;
@@ -68,8 +68,8 @@
 private:
   // ---- Versions ----
 
-  /// A host that cannot load the published version stops the roll for all: the next replica would
-  /// go dark the same way.
+  /// A host that cannot load the published version stops the roll for all replicas: the next
+  /// replica would fail in the same way.
   void NoteFailedVersions()
   {
     for (const auto& it : mReplicas) {
@@ -148,7 +148,7 @@
     return member;
   }
 
-  // ---- Deciding ----
+  // ---- Decisions ----
 
   void StopAndRelease()
   {
@@ -179,7 +179,7 @@
     }
   }
 
-  /// Urgent profiles first, then those with least service.
+  /// Sorted by urgency of the profile, then by least service.
   std::vector<const ReplicaView*> Broken() const
   {
     std::vector<const ReplicaView*> broken;
@@ -294,7 +294,8 @@
     Assign(aReplica.mName, *mProfiles.at(aReplica.Assigned().profile()).mProfile, members);
   }
 
-  /// One replica of each profile at a time, and never below the profile's share.
+  /// Changes the version of one replica of each profile at a time, never going below the profile's
+  /// share.
   void Roll()
   {
     for (auto& [name, view] : mProfiles) {
@@ -328,8 +329,9 @@
     }
   }
 
-  /// Larger grows first: a first replica, then a roll that needs room, then whoever would be least
-  /// above its share. Shares are compared in hosts, since replicas differ in size.
+  /// The profile with the highest rank grows first: one without any replica, then a roll that needs
+  /// room, then the profile that would be least above its share. Shares are compared in hosts since
+  /// replicas differ in size.
   static double GrowthRank(const ProfileView& aView, bool aSurge)
   {
     constexpr double kFirstReplica = 1e9;
@@ -371,8 +373,8 @@
     }
   }
 
-  /// The domain in which a new replica takes least room from larger ones and strands fewest hosts;
-  /// null when none has room.
+  /// The domain where a new replica takes least room from larger ones and leaves the fewest hosts
+  /// unusable; null if no domain has room.
   const std::string* DomainFor(const ProfileView& aView) const
   {
     const std::size_t size = aView.mProfile->hosts_per_replica();
@@ -416,7 +418,8 @@
     return aHosts.empty() ? 1 : mHosts.at(aHosts.front())->mAccelerators;
   }
 
-  /// Hosts of a domain that are, or in this round become, members of replicas.
+  /// The number of hosts of a domain that are members of replicas, including assignments of this
+  /// round.
   std::size_t HostsInUse(const std::string& aDomain) const
   {
     const auto usable = mUsableIn.find(aDomain);
@@ -450,12 +453,13 @@
     }
   }
 
-  /// Shares have changed: a profile above its share gives one replica up for one below it.
+  /// After a change of shares: a profile above its share gives up one replica for a profile below
+  /// its share.
   void MakeRoom()
   {
     for (const auto& it : mReplicas) {
       if (it.mState->closing()) {
-        return; // hosts are on their way already
+        return; // hosts are being released already
       }
     }
     const ProfileView* needy = nullptr;
@@ -471,8 +475,8 @@
     CloseSurplus(needy->mProfile->hosts_per_replica(), needy->mProfile->name());
   }
 
-  /// Close the fewest replicas of profiles above their share that make one domain hold `aSize` free
-  /// hosts; small replicas make room for a large one together.
+  /// Closes the fewest replicas of profiles above their share that free `aSize` hosts in one
+  /// domain. Several small replicas can make room for a large one.
   void CloseSurplus(std::size_t aSize, const std::string& aFor)
   {
     std::vector<const ReplicaView*> best;
@@ -518,7 +522,7 @@
     return repair;
   }
 
-  /// Set free hosts aside in the log for the replicas of their domain, for outages of the log.
+  /// Reserves free hosts in the log for the replicas of their domain, for outages of the log.
   void Reserve()
   {
     if (!mOptions.mReserve || !mOut.mRecords.empty()) {
@@ -561,7 +565,7 @@
 RepairChoice
 ChooseRepair(const RepairCase& aCase, const PlannerOptions& aOptions)
 {
-  // Per second in which the replica is not whole.
+  // Cost per second in which the replica is not whole.
   const double left = static_cast<double>(aCase.mSize - aCase.mLost) * aCase.mAccelerators;
   const double perSecond = aOptions.mDowntimeWeight + aOptions.mStrandedWeight * left;
   const double load = Seconds(aOptions.mLoadTime);
@@ -576,9 +580,10 @@
     return costOfLoad < costOfWait || aCase.mProcessGone ? RepairChoice::kUseSpares
                                                          : RepairChoice::kWait;
   }
-  // The donor loses its own chance of return: most hosts that are away for longer than a blip were
-  // restarted and are back within a load or two. So both it and a new place wait until this one has
-  // been away for as long as a load takes.
+  // The donor loses its own chance of recovery: most hosts that are away for longer than a blip
+  // were restarted and return within one or two weight loads. The planner therefore takes hosts
+  // from a donor, or moves the replica to another domain, only after this replica's host has been
+  // away for as long as a load takes.
   const bool longGone = aCase.mSilentFor > aOptions.mLoadTime;
   if (aCase.mDonorInDomain && longGone) {
     return RepairChoice::kTakeFromAnother;
@@ -594,8 +599,8 @@
                    std::uint32_t aAccelerators,
                    const PlannerOptions& aOptions)
 {
-  // The n-th spare is used when n hosts of the domain are down together; with few failures that is
-  // near the n-th power of the mean number down.
+  // The n-th spare is used if n hosts of the domain are down together. With few failures the
+  // probability of that is close to the n-th power of the mean number of hosts down.
   const double meanDown =
     static_cast<double>(aHostsInUse) * aOptions.mHostFailuresPerHour * aOptions.mHostRepairHours;
   const double downtimePerHour = aOptions.mDowntimeWeight * kSecondsPerHour;
--- a/src/pepperbay/placement/reserves.cpp
+++ b/src/pepperbay/placement/reserves.cpp
@@ -13,7 +13,7 @@
   return it == aState.Content().replicas().end() ? nullptr : &it->second;
 }
 
-/// @return the one member of the repair that the folded replica does not have, or null.
+/// @return the only member of the repair that the folded replica does not have, or null.
 const proto::Member*
 OnlyNewMember(const proto::Assign& aFolded, const proto::Assign& aRepair)
 {
--- a/src/pepperbay/placement/survey.hpp
+++ b/src/pepperbay/placement/survey.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief What one round of planning sees: hosts, replicas and profiles, drawn once at its start.
+/// @brief The hosts, replicas and profiles as seen by one planning round, collected at its start.
 #pragma once
 
 #include "pepperbay/placement/planner.hpp"
@@ -10,7 +10,7 @@
 
 namespace pepperbay {
 
-/// A member that its replica cannot count on.
+/// A member that is lost to its replica.
 struct LostMember
 {
   std::string mHost;
@@ -18,7 +18,7 @@
   bool mProcessGone = false;
 };
 
-/// A live replica as this round sees it.
+/// A live replica in this round.
 struct ReplicaView
 {
   std::string mName;
@@ -30,31 +30,32 @@
   const proto::Assign& Assigned() const { return mState->assign(); }
 };
 
-/// A profile as this round sees it.
+/// A profile in this round.
 struct ProfileView
 {
   const proto::Profile* mProfile = nullptr;
-  std::size_t mFloor = 0;   ///< replicas that its share of the hosts up entitles it to
-  std::size_t mDue = 0;     ///< the same of all hosts listed
+  std::size_t mFloor = 0;   ///< replicas due by its share of the hosts that answer
+  std::size_t mDue = 0;     ///< replicas due by its share of all listed hosts
   double mEntitled = 0;     ///< mFloor before rounding
   std::size_t mLive = 0;    ///< replicas not closing
   std::size_t mServing = 0; ///< whole and not closing
-  bool mRolling = false;    ///< some replica serves another version than wanted
+  bool mRolling = false;    ///< some replica serves another version than the wanted one
 };
 
-/// Hosts by what may be done with them, replicas by what they lack, profiles by what they are due.
+/// Classifies hosts by availability, replicas by lost members, and profiles by the replicas due to
+/// them.
 class Survey
 {
 protected:
-  /// @param aSilentSince kept between rounds: hosts that do not answer, and since when
+  /// @param aSilentSince hosts that do not answer and since when; kept between rounds
   Survey(const PlanInput& aInput,
          const PlannerOptions& aOptions,
          std::map<std::string, TimePoint>& aSilentSince);
 
   bool VersionFailed(const proto::Profile& aProfile) const;
 
-  /// The version to give to a replica now: the published one, or the last good one when that failed
-  /// to load.
+  /// The version to load on a replica now: the published one, or the last working one if the
+  /// published one failed to load.
   std::string WantedVersion(const proto::Profile& aProfile) const;
 
   const PlanInput& mIn;
@@ -72,8 +73,8 @@
   bool Refuses(const std::string& aHost) const;
   bool Draining(const std::string& aHost) const;
   bool Usable(const HostView& aHost) const;
-  /// A host may be given to a replica once it has answered in this tenure: what an earlier holder
-  /// did to it shows in that answer.
+  /// Whether a host may be assigned to a replica: it must have answered in this tenure, since its
+  /// answer shows the effect of earlier holders' orders.
   bool Free(const HostView& aHost) const;
   void SurveyHosts();
   void SurveyReplicas();
