--- a/src/pepperbay/placement/composition_test.cpp
+++ b/src/pepperbay/placement/composition_test.cpp
@@ -18,8 +18,8 @@
   return { aModel, aSize, aReplicas, aInUse };
 }
 
-/// Pattern: the smaller model is asked for more than its places hold, the larger one is hardly
-/// asked for. Guards against callers of one model waiting beside idle engines of the other.
+/// The smaller model has more demand than slots, the larger one hardly any. Guards against requests
+/// of one model waiting while engines of the other are idle.
 TEST(Composition, BurstOfTheSmallerModelTakesReplicasOfTheLarger)
 {
   const auto need = NextTrade({ Use("big", 8, 9, 33), Use("small", 2, 36, 700) }, kSlots, {});
@@ -28,7 +28,8 @@
   EXPECT_EQ(need->mTo, "small");
 }
 
-/// Pattern: the mix turns back. Guards against engines that stay where the last burst put them.
+/// Demand shifts back to the larger model. Guards against engines that stay with the model of the
+/// last burst.
 TEST(Composition, BurstOfTheLargerModelTakesReplicasOfTheSmaller)
 {
   const auto need = NextTrade({ Use("big", 8, 5, 110), Use("small", 2, 52, 490) }, kSlots, {});
@@ -37,21 +38,21 @@
   EXPECT_EQ(need->mTo, "big");
 }
 
-/// Pattern: both models are full. Guards against one model's callers paying for the other's.
+/// Both models are full. Guards against refusing requests of one model for the sake of the other.
 TEST(Composition, AModelThatIsFullGivesNothing)
 {
   EXPECT_FALSE(
     NextTrade({ Use("big", 8, 9, 170), Use("small", 2, 36, 1000) }, kSlots, {}).has_value());
 }
 
-/// Guards against a model that is left with fewer replicas than the loss of one allows.
+/// Guards against leaving a model with so few replicas that it cannot lose one.
 TEST(Composition, EachModelKeepsItsLeastReplicas)
 {
   EXPECT_FALSE(
     NextTrade({ Use("big", 8, 2, 0), Use("small", 2, 36, 1000) }, kSlots, {}).has_value());
 }
 
-/// Guards against a pool whose operator wants the shares to stand.
+/// Guards against a change of replicas although the operator has chosen fixed shares.
 TEST(Composition, SharesStandWhereThePolicySaysSo)
 {
   CompositionOptions options;
@@ -60,8 +61,8 @@
     NextTrade({ Use("big", 8, 9, 10), Use("small", 2, 36, 1000) }, kSlots, options).has_value());
 }
 
-/// Guards against flapping: with the same work, no sequence of trades turns back on itself, and
-/// each leaves every model with what it must keep.
+/// Guards against flapping: under constant demand, no sequence of rebalances reverses itself, and
+/// each leaves every model its minimum of replicas.
 RC_GTEST_PROP(Composition, TradesEndAndDoNotTurnBack, ())
 {
   const auto sizeOf = [] { return *rc::gen::inRange<std::size_t>(1, 17); };
@@ -97,7 +98,7 @@
   RC_FAIL("trades without end");
 }
 
-/// Guards against a decision by the arrivals of one moment.
+/// Guards against decisions based on momentary arrivals.
 TEST(Composition, UseIsAveragedOverTime)
 {
   PlaceUse use(milliseconds(700));
--- a/src/pepperbay/placement/engine_state_test.cpp
+++ b/src/pepperbay/placement/engine_state_test.cpp
@@ -41,7 +41,7 @@
   return { aGroup, aEpoch, 1, GroupPhase::kReady };
 }
 
-/// In r1 at epoch 9 with six orders accepted, and registered in it at epoch 7.
+/// The engine is in r1 at epoch 9 with six orders accepted; its registration shows r1 at epoch 7.
 EngineState
 InNine()
 {
@@ -63,9 +63,9 @@
   EXPECT_EQ(state.Accepted(), 1U);
 }
 
-/// Symptom: an engine that serves is ordered elsewhere.
-/// Sequence: it is told to leave an older epoch than it is in, and answers that this holds.
-/// Cause: the answer says that it is not in that epoch, not that it is in none.
+/// Guards against ordering a serving engine elsewhere. It is ordered to leave an older epoch than
+/// its own and answers that this holds. The answer proves that it is not in that epoch, not that it
+/// is in no replica.
 TEST(EngineState, ALeaveOfAnOlderEpochProvesNothingOfTheNewer)
 {
   EngineState state = InNine();
@@ -76,7 +76,7 @@
   EXPECT_EQ(state.Accepted(), 7U);
 }
 
-/// Without a number the engine may have left, or have been ordered elsewhere since.
+/// Without a number in the order, the engine may have left, or have been ordered elsewhere since.
 TEST(EngineState, ALeaveWithoutANumberLeavesTheNumberToTheEngine)
 {
   EngineState state = InNine();
@@ -85,16 +85,16 @@
   EXPECT_TRUE(state.ShouldAsk(kNow));
 }
 
-/// Symptom: a member whose registration stands still is taken for free.
-/// Sequence: it says that it is in a newer epoch, and its registration goes on saying the old one.
-/// Cause: what it says when asked held for half a second only.
+/// Guards against treating a member with an outdated registration as free. The member reports a
+/// newer epoch while its registration still shows the old one. The failure occurs if the report is
+/// valid for half a second only.
 TEST(EngineState, ARegistrationThatStandsStillNeverComesBack)
 {
   EngineState state = InNine();
   state.OnRegistration(Place("r1", 7));
   EXPECT_TRUE(state.IsIn("r1", 9));
   state.OnAnswer(Leave(9, 6), OrderAnswer::kHolds, kNow);
-  state.OnRegistration(Place("r1", 9)); // of before it left
+  state.OnRegistration(Place("r1", 9)); // from before it left
   EXPECT_TRUE(state.Place().mName.empty());
   EXPECT_EQ(state.Accepted(), 7U);
   state.OnRegistration(Place("r2", 12)); // by another holder
@@ -111,24 +111,24 @@
   EXPECT_EQ(state.Accepted(), 7U);
 }
 
-/// An order to open or to stage that is still in progress is answered as begun again, so whether it
-/// is counted shows only when the engine is asked late enough.
+/// An open or stage order that is still in progress is answered with kBegun again. Whether it is
+/// counted shows only in a report that is recent enough.
 TEST(EngineState, AnOpenIsCountedOnceTheEngineSaysSo)
 {
   EngineState state = InNine();
   const GroupOrder open = Order(GroupOrderKind::kOpen, 9, std::nullopt);
   EXPECT_EQ(state.OnAnswer(open, OrderAnswer::kBegun, kNow), OrderProof::kAccepted);
   EXPECT_FALSE(state.ShouldAsk(kNow));
-  state.OnReport(Place("r1", 9), 6, kNow + milliseconds(100)); // perhaps of before
+  state.OnReport(Place("r1", 9), 6, kNow + milliseconds(100)); // perhaps from before
   EXPECT_EQ(state.Accepted(), std::nullopt);
   EXPECT_TRUE(state.ShouldAsk(kNow + EngineState::kReportAge));
   state.OnReport(Place("r1", 9), 6, kNow + EngineState::kReportAge);
   EXPECT_EQ(state.Accepted(), 6U);
 }
 
-/// Symptom: a join that was refused is refused a second time.
-/// Sequence: the engine has accepted an order that the holder does not know of; asked, it says what
-/// was so before that order. Cause: the number that had just been refused was taken again.
+/// Guards against a second refusal of the same join. The engine has accepted an order unknown to
+/// the holder, and its report is from before that order. The failure occurs if the number that was
+/// just refused is taken from the report again.
 TEST(EngineState, ANumberThatWasRefusedIsNotTakenAgain)
 {
   EngineState state = InNine();
@@ -151,7 +151,7 @@
   EXPECT_EQ(state.Accepted(), 7U);
 }
 
-/// A late answer to a join does not bring back a membership that the engine has left since.
+/// A late answer to a join must not restore a membership that the engine has left since.
 TEST(EngineState, ALateAnswerToAnOlderJoinIsIgnored)
 {
   EngineState state = InNine();
--- a/src/pepperbay/placement/group_planner_composition_test.cpp
+++ b/src/pepperbay/placement/group_planner_composition_test.cpp
@@ -5,7 +5,7 @@
 namespace pepperbay {
 namespace {
 
-/// A pool of 18 engines a domain: one replica of eight, four of two, two spares.
+/// A pool with 18 engines per domain: one replica of eight, four of two, and two spares.
 EnginePool
 PairsAndEights()
 {
@@ -22,7 +22,7 @@
 constexpr std::size_t kDomains = 5;
 constexpr std::size_t kPerDomain = 18;
 
-/// A pool whose hosts hold the weights that they are to hold, with callers for it.
+/// A pool whose hosts have staged all their weights, under load from callers.
 struct TurningWorld : World
 {
   TurningWorld()
@@ -33,7 +33,7 @@
     mStreamsLast = milliseconds(1600);
   }
 
-  /// Requests in progress at all replicas of each model, spread evenly over those that serve.
+  /// Sets the requests in progress of each model, spread evenly over its serving replicas.
   void Ask(int aBig, int aSmall, Duration aFor) { Ask(mPlanner, 1, aBig, aSmall, aFor); }
 
   void Ask(GroupPlanner& aPlanner, std::uint64_t aFence, int aBig, int aSmall, Duration aFor)
@@ -50,8 +50,8 @@
   GroupPlanner mPlanner;
 };
 
-/// Pattern: the smaller model is asked for 1.6 times what its places hold. Guards against callers
-/// of one model who all wait while engines of the other have nothing to do.
+/// The demand for the smaller model is 1.6 times its slots. Guards against requests of one model
+/// waiting while engines of the other are idle.
 TEST(GroupPlannerComposition, BurstOfTheSmallerModelIsServedByEnginesOfTheLarger)
 {
   TurningWorld world;
@@ -61,13 +61,13 @@
   world.Ask(15, 440, seconds(6));
   EXPECT_LE(world.mPool.Serving("big"), 4U);
   EXPECT_GE(world.mPool.Serving("small"), 24U);
-  EXPECT_GE(world.mPool.Serving("big"), 2U) << "the least that a model keeps";
+  EXPECT_GE(world.mPool.Serving("big"), 2U) << "the minimum of replicas per model";
   EXPECT_LE(world.mPool.Loads().size() - loads, 60U);
   EXPECT_TRUE(world.mPool.Violations().empty()) << world.mPool.Violations().front();
 }
 
-/// Pattern: the mix turns, and turns back. Guards against engines that stay where the last burst
-/// put them.
+/// Demand shifts to one model and back. Guards against engines that stay with the model of the last
+/// burst.
 TEST(GroupPlannerComposition, EnginesComeBackWhenTheMixTurnsBack)
 {
   TurningWorld world;
@@ -80,8 +80,7 @@
   EXPECT_TRUE(world.mPool.Violations().empty()) << world.mPool.Violations().front();
 }
 
-/// Pattern: demand that stays as it is. Guards against replicas that are given up and formed anew
-/// for ever.
+/// Constant demand. Guards against replicas that are given up and re-formed endlessly.
 TEST(GroupPlannerComposition, SteadyDemandMovesNothingAfterAWhile)
 {
   TurningWorld world;
@@ -91,8 +90,8 @@
   EXPECT_TRUE(world.mPlanner.TakeChanges().empty());
 }
 
-/// Guards against streams that are cut by a change of composition: engines leave a replica when its
-/// streams have ended, and not before.
+/// Guards against streams cut by a change of composition: engines leave a replica only after its
+/// streams have completed.
 TEST(GroupPlannerComposition, AReplicaThatIsGivenUpEndsItsStreamsFirst)
 {
   TurningWorld world;
@@ -104,7 +103,7 @@
   EXPECT_EQ(world.mPool.Serving("big"), 5U);
 }
 
-/// Pattern: demand turns back while replicas are only about to be given up. Guards against a model
+/// Demand shifts back while replicas that are to be given up still serve. Guards against a model
 /// that waits for engines which still serve it.
 TEST(GroupPlannerComposition, ReplicasThatStillServeAreTakenBack)
 {
@@ -118,8 +117,8 @@
   }
 }
 
-/// Pattern: most heads of one model name a limit, so that their slots look idle. Guards against
-/// taking replicas of the very model that is short of them.
+/// Most heads of one model state a rate limit, so that their slots look idle. Guards against taking
+/// replicas of the model that is short of slots.
 TEST(GroupPlannerComposition, AModelWhoseHeadsAreLimitedGivesNothing)
 {
   EnginePool pool = PairsAndEights();
@@ -138,10 +137,10 @@
   EXPECT_EQ(world.mPool.Serving("big"), 5U);
   world.mLimits.clear();
   world.Ask(15, 440, seconds(6));
-  EXPECT_LT(world.mPool.Serving("big"), 5U) << "as without limits";
+  EXPECT_LT(world.mPool.Serving("big"), 5U) << "same result as without limits";
 }
 
-/// Guards against a new holder of the lease that turns back what the last one has begun.
+/// Guards against a new holder of the lease that reverses the changes of the previous one.
 TEST(GroupPlannerComposition, ANewHolderGoesOnFromWhatStands)
 {
   TurningWorld world;
@@ -153,8 +152,8 @@
   EXPECT_TRUE(world.mPool.Violations().empty()) << world.mPool.Violations().front();
 }
 
-/// Guards against a change of composition while losses go on: no engine in two replicas, none left
-/// over.
+/// Engines are lost during a change of composition. Guards against engines in two replicas and
+/// engines left unused.
 TEST(GroupPlannerComposition, LossesDuringAChangeAreRepaired)
 {
   TurningWorld world;
@@ -167,8 +166,7 @@
   EXPECT_TRUE(world.mPool.Violations().empty()) << world.mPool.Violations().front();
 }
 
-/// Guards against a node that ends because operators drop a model while engines are on their way to
-/// it.
+/// Guards against a crash of the node when operators remove a model while engines are moving to it.
 TEST(GroupPlannerComposition, AModelMayBeDroppedWhileEnginesAreOnTheirWayToIt)
 {
   EnginePool pool = PairsAndEights();
--- a/src/pepperbay/placement/group_planner_leaving_test.cpp
+++ b/src/pepperbay/placement/group_planner_leaving_test.cpp
@@ -1,4 +1,4 @@
-/// Replicas whose members leave, while their streams are still being written.
+/// Tests of replicas whose members leave while their streams are still being written.
 #include "group_planner_world.hpp"
 
 #include <gtest/gtest.h>
@@ -6,7 +6,7 @@
 namespace pepperbay {
 namespace {
 
-/// Orders to join that an engine was given.
+/// The number of join orders sent to an engine.
 int
 JoinsOf(const World& aWorld, const std::string& aEngine)
 {
@@ -14,11 +14,10 @@
   return it == aWorld.mJoins.end() ? 0 : it->second;
 }
 
-/// Symptom: streams are reset in a quiet hour, when engines are replaced.
-/// Sequence: a member says that it leaves; its replica takes no new requests; after 1.6 s, with
-/// streams in progress, the other members are told to join anew, which ends the group and them.
-/// Cause: the wait for what is in progress had a bound far below the time that a stream takes, and
-/// below the time for which a leaving engine works on.
+/// Guards against streams reset when a leaving engine is replaced. Its replica takes no new
+/// requests. If the wait for streams in progress is too short (it was 1.6 s, far less than a stream
+/// takes or a leaving engine works on), the other members are ordered to join again, which ends the
+/// group and its streams.
 TEST(GroupPlannerLeaving, WhatIsInProgressEndsBeforeTheMembersJoinAnew)
 {
   World world(1);
@@ -37,7 +36,8 @@
   EXPECT_NE(world.MemberOf(planner, "big", 2), leaving);
 }
 
-/// A count that never falls, of a node that hangs say, does not hold the replica for ever.
+/// A count of requests that never falls, for example from a hung node, must not block the replica
+/// forever.
 TEST(GroupPlannerLeaving, WhatDoesNotEndIsNotWaitedForLongerThanAnEngineWorksOn)
 {
   World world(1);
@@ -50,10 +50,9 @@
   EXPECT_NE(world.MemberOf(planner, "big", 2), leaving);
 }
 
-/// Symptom: as above, without any word of leaving.
-/// Sequence: a member leaves without a word: its registration goes, later it stops listening, and
-/// works on for its head's streams; it does not answer questions; the replica forms anew.
-/// Cause: an engine that does not listen was taken for one that does not work.
+/// Guards against the same for a member that leaves unannounced: its registration disappears, then
+/// it stops listening and answers no queries, but still works for its head's streams. An engine
+/// that does not listen must not be taken for one that does not work.
 TEST(GroupPlannerLeaving, AMemberThatOnlyStoppedListeningEndsItsStreamsFirst)
 {
   World world(1);
@@ -71,7 +70,7 @@
   EXPECT_EQ(world.mPool.Serving("big"), 1U);
 }
 
-/// A member that has died shows by streams that stand still; nothing is waited for then.
+/// A member that has died shows by streams that make no progress; the planner then does not wait.
 TEST(GroupPlannerLeaving, AMemberWhoseReplicaStandsStillIsReplacedAtOnce)
 {
   World world(1);
@@ -83,10 +82,9 @@
   EXPECT_EQ(world.mPool.Serving("big"), 1U);
 }
 
-/// Symptom: streams are reset when another node takes the lease.
-/// Sequence: a member's registration is gone, its replica works on; the lease changes hands; the
-/// new holder sees a replica without all its members and tells the others to join anew. Cause: as
-/// above; what the list of engines does not show was taken for what does not work.
+/// Guards against streams reset by a change of the lease holder. A member's registration is gone
+/// but its replica still works. The new holder sees an incomplete replica and must not order the
+/// other members to join again: an unlisted engine may still work.
 TEST(GroupPlannerLeaving, ANewHolderEndsNothingThatWorksOn)
 {
   World world(1);
@@ -106,7 +104,7 @@
   EXPECT_GT(JoinsOf(world, head), joins);
 }
 
-/// The engine was only cut off from the store: its replica serves on as it was.
+/// The engine was only cut off from the store: its replica continues to serve unchanged.
 TEST(GroupPlannerLeaving, AMemberThatIsListedAgainMakesItsReplicaWhole)
 {
   World world(1);
@@ -129,11 +127,10 @@
   EXPECT_EQ(world.MemberOf(after, "big", 0), head);
 }
 
-/// Symptom: a replica that was formed anew without one leaving engine stops serving again seconds
-/// later, and refuses all that it is sent until that is found out.
-/// Sequence: two members leave without a word, one after the other; when the first stops listening,
-/// the replica is formed anew with the second, though a spare is ready.
-/// Cause: an engine that is no longer listed was as good a member as any while it answered.
+/// Guards against re-forming a replica with a member that is about to stop. Two members leave
+/// unannounced one after the other. When the first stops listening, the replica must be re-formed
+/// with a ready spare, not with the second, which still answers but is no longer listed. Otherwise
+/// it stops serving again seconds later and refuses all requests until that is detected.
 TEST(GroupPlannerLeaving, ASpareGoesBeforeAMemberThatIsNoLongerListed)
 {
   World world(1);
@@ -156,8 +153,8 @@
   }
 }
 
-/// A member that has started again knows nothing of its group: nothing moves there, and nothing is
-/// waited for, although no node sees a stream stand still where all of them wait.
+/// A restarted member has lost its group state: the replica makes no progress, and the planner must
+/// not wait, even if no node reports a stalled stream because all of them are waiting.
 TEST(GroupPlannerLeaving, AReplicaWhoseMemberHasStartedAgainIsFormedAnewAtOnce)
 {
   World world(1);
@@ -170,10 +167,9 @@
   EXPECT_EQ(world.mPool.Serving("big"), 1U);
 }
 
-/// Symptom: streams are reset when another node takes the lease.
-/// Sequence: a head's registration is gone, it works on for its streams; the lease changes hands;
-/// the new holder finds the other members and tells them to join anew.
-/// Cause: a head that is not listed was taken for one that does not work.
+/// Guards against streams reset by a change of the lease holder. A head's registration is gone but
+/// it still serves its streams. The new holder discovers the other members and must not order them
+/// to join again: an unlisted head may still work.
 TEST(GroupPlannerLeaving, ANewHolderEndsNothingOfAHeadThatIsNotListed)
 {
   World world(1);
@@ -189,7 +185,7 @@
   EXPECT_EQ(JoinsOf(world, member), joins);
 }
 
-/// Guards against a replica that is formed anew, which ends its streams, as a member only pauses.
+/// Guards against re-forming a replica, which ends its streams, while a member only pauses.
 TEST(GroupPlannerLeaving, AMemberThatIsOnlySilentEndsNothing)
 {
   for (const std::size_t rank : { 0U, 3U }) {
@@ -204,12 +200,12 @@
       world.mSilent = { silent };
       world.Run(planner, milliseconds(20));
       EXPECT_TRUE(planner.Replicas().at(name).mMemberLost);
-      EXPECT_TRUE(planner.Replicas().at(name).mLeavingSince) << "it takes no new requests";
+      EXPECT_TRUE(planner.Replicas().at(name).mLeavingSince) << "takes no new requests";
       EXPECT_EQ(planner.Replicas().at(name).mWhy, "silent member " + silent);
       world.Run(planner, milliseconds(1500));
       world.mSilent.clear();
       world.Run(planner, milliseconds(40));
-      EXPECT_FALSE(planner.Replicas().at(name).mLeavingSince) << "it is back";
+      EXPECT_FALSE(planner.Replicas().at(name).mLeavingSince) << "the member answers again";
       world.Run(planner, seconds(1));
       EXPECT_EQ(world.mJoins, before) << rank << " with " << streams << " streams";
       EXPECT_EQ(planner.Replicas().at(name).mPhase, ReplicaPhase::kOpen);
@@ -217,7 +213,7 @@
   }
 }
 
-/// Guards against a replica that waits for ever for a member whose silence was no pause.
+/// Guards against a replica that waits forever for a member that has exited rather than paused.
 TEST(GroupPlannerLeaving, AMemberWhoseSilenceHasBecomeAnEndIsReplaced)
 {
   World world(1);
@@ -233,8 +229,7 @@
   EXPECT_EQ(world.mPool.Serving("big"), 1U);
 }
 
-/// Guards against a replica that is formed anew for orders that a member left unanswered in a
-/// pause.
+/// Guards against re-forming a replica because of orders that a member left unanswered in a pause.
 TEST(GroupPlannerLeaving, OrdersWithoutAnAnswerEndNoStreams)
 {
   World world(1);
@@ -261,7 +256,7 @@
   EXPECT_EQ(world.mPool.Serving("big"), 1U);
 }
 
-/// Guards against a replica that is formed anew as a member's registration lapses in a pause.
+/// Guards against re-forming a replica because a member's registration lapsed in a pause.
 TEST(GroupPlannerLeaving, AMemberWhoseRegistrationLapsesInAPauseStays)
 {
   World world(1);
@@ -281,7 +276,7 @@
   EXPECT_EQ(world.mPool.Serving("big"), 1U);
 }
 
-/// Guards against a new holder that takes a registration that lapsed in a pause for an end.
+/// Guards against a new holder that takes a registration that lapsed in a pause for an exit.
 TEST(GroupPlannerLeaving, ANewHolderWaitsForAMemberWhoseRegistrationLapsedInAPause)
 {
   World world(1);
--- a/src/pepperbay/placement/group_planner_loads_test.cpp
+++ b/src/pepperbay/placement/group_planner_loads_test.cpp
@@ -7,7 +7,8 @@
 
 constexpr seconds kLoadsCounted{ 5 };
 
-/// @return the most loads that began within five seconds, of those after a time.
+/// @return the maximum number of loads started within any five seconds, of those after a given
+/// time.
 std::size_t
 MostLoads(World& aWorld, TimePoint aFrom)
 {
@@ -30,9 +31,9 @@
   return static_cast<std::size_t>(aWorld.mPool.Pool().mLoadsPerSecond * kLoadsCounted.count()) + 1;
 }
 
-/// Symptom: the store of weights is asked for more loads than it bears, and all of them get slow.
-/// Sequence: the whole pool restarts empty while requests come in.
-/// Cause: weights that a join brings were not counted against the rate, only staged ones.
+/// The whole pool restarts empty while requests arrive. Guards against overloading the weight
+/// store, which slows down all loads: loads caused by joins count against the rate like staged
+/// ones.
 TEST(GroupPlanner, LoadsKeepToTheRateWhileRequestsComeIn)
 {
   World world(6);
@@ -46,8 +47,8 @@
   EXPECT_EQ(world.mPool.Serving("small"), 6U);
 }
 
-/// Pattern: requests come before the hosts of a large pool hold all that they are to hold. Guards
-/// against weights that are loaded all day onto hosts which nothing will ask for them.
+/// Requests arrive before the hosts of a large pool have staged all their weights. Guards against
+/// continuous loading of weights onto hosts that will not need them.
 TEST(GroupPlanner, WhileRequestsComeWeightsAreLoadedAheadOnlyWhereEnginesWereLost)
 {
   World world(6);
@@ -59,21 +60,21 @@
   const std::size_t begun = world.mPool.Loads().size();
   world.Run(planner, seconds(30));
   const std::size_t before = world.mPool.Loads().size();
-  EXPECT_LE(before - begun, 12U) << "each of two spares a domain holds one model's weights";
+  EXPECT_LE(before - begun, 12U) << "two spares per domain, each with one model's weights";
   world.Run(planner, seconds(60));
   EXPECT_EQ(world.mPool.Loads().size(), before);
   const std::string lost = world.MemberOf(planner, "big", 2);
   world.Kill(lost);
   world.Run(planner, seconds(60));
   EXPECT_GT(world.mPool.Loads().size(), before);
-  EXPECT_LE(world.mPool.Loads().size() - before, 11U) << "of one domain";
+  EXPECT_LE(world.mPool.Loads().size() - before, 11U) << "engines of one domain only";
   world.mInFlightOf = { { "big", 2 }, { "small", 18 } }; // of 26
   world.Run(planner, seconds(120));
-  EXPECT_GT(world.mPool.Loads().size() - before, 20U) << "a model is about to be short";
+  EXPECT_GT(world.mPool.Loads().size() - before, 20U) << "a model is almost out of slots";
 }
 
-/// Guards against each new holder of the lease counting loads from none, so that the store of
-/// weights is asked for more than it bears while holders change.
+/// Guards against overloading the weight store while holders change, if each new holder of the
+/// lease counts loads from zero.
 TEST(GroupPlanner, LoadsKeepToTheRateWhileHoldersChange)
 {
   World world(6);
@@ -83,7 +84,7 @@
   const TimePoint back = world.RestartEmpty(first, 6, seconds(3));
   for (std::uint64_t fence = 2; fence < 22; ++fence) {
     GroupPlanner next;
-    world.Run(next, milliseconds(500), fence); // each gives the lease back as it stops
+    world.Run(next, milliseconds(500), fence); // each releases the lease when it stops
   }
   EXPECT_LE(MostLoads(world, back), MostLoadsAllowed(world));
   GroupPlanner last;
--- a/src/pepperbay/placement/group_planner_places_test.cpp
+++ b/src/pepperbay/placement/group_planner_places_test.cpp
@@ -5,8 +5,8 @@
 namespace pepperbay {
 namespace {
 
-/// A domain whose small replica has been formed anew with a spare while the registrations of that
-/// spare and of the new head stood still; both are of before the join.
+/// A domain whose small replica has been re-formed with a spare. The registrations of that spare
+/// and of the new head are outdated: both are from before the join.
 struct StaleRegistrations
 {
   StaleRegistrations()
@@ -38,15 +38,15 @@
   std::string mSmall;
 };
 
-/// Symptom: a head takes streams and nothing in it moves; one of its members has joined another
-/// replica.
-/// Sequence: registrations stand still while the store is away. A replica is formed anew with a
-/// spare, and opens; by their registrations the spare is still one, and the head in the former
-/// epoch. A larger replica of the domain loses a member and the first is given up for it. Its head
-/// is told to leave the former epoch, answers that this holds, and goes on serving; the spare is
-/// told to join the larger replica, and does.
-/// Cause: an old registration counted again once the engine's own newer word was half a second old;
-/// the count of orders that went with that word was kept, and passed the engine's guard.
+/// Guards against an engine in two replicas, whose head accepts streams but makes no progress.
+/// Registrations are outdated while the store is unavailable. A replica is re-formed with a spare
+/// and opens, but the registrations still show the spare as free and the head in the earlier epoch.
+/// Then a larger replica of the domain loses a member and the first replica is given up for it. The
+/// head is ordered to leave the earlier epoch, answers that this holds and keeps serving, while the
+/// spare joins the larger replica.
+/// The failure occurs if an old registration is used again half a second after the engine's newer
+/// report, together with the number of accepted orders from that report, which passes the engine's
+/// guard.
 TEST(GroupPlannerPlaces, AMemberWhoseRegistrationStandsStillLeavesBeforeItJoinsAnother)
 {
   StaleRegistrations given;
@@ -57,15 +57,14 @@
     world.Kill(it);
   }
   world.Kill(given.mPlanner.Replicas().at(given.InDomain("big")).mMembers[3]);
-  world.Run(given.mPlanner, seconds(25)); // longer than a load, which the old head may need
+  world.Run(given.mPlanner, seconds(25)); // longer than a load, which the former head may need
   EXPECT_EQ(world.mPool.Violations(), std::vector<std::string>());
-  EXPECT_EQ(world.mPool.Serving("big"), 3U); // its engines were free once they had left
+  EXPECT_EQ(world.mPool.Serving("big"), 3U); // its engines were free after leaving
 }
 
-/// Symptom: each repair of an engine that has once loaded weights for a join takes 250 ms longer.
-/// Sequence: a join that loads is asked for again while it is in progress, and answered as begun
-/// each time. A member dies, and the others are told to join anew; they refuse.
-/// Cause: each of these answers was counted as one more order that the engine had accepted.
+/// Guards against a repair that takes 250 ms longer for each engine that has loaded weights for a
+/// join. Repeats of a join in progress are each answered with kBegun. If each answer counts as
+/// another accepted order, the engines refuse the next join.
 TEST(GroupPlannerPlaces, AJoinThatIsStillInProgressIsCountedOnce)
 {
   World world(1);
@@ -77,11 +76,10 @@
   EXPECT_EQ(world.mPool.Serving("big"), 1U);
 }
 
-/// Symptom: an engine that has left one replica for another refuses to join it for half a second.
-/// Sequence: a replica is given up for a larger one of its domain; its members leave, which is
-/// answered as done, and are told to join.
-/// Cause: an order that is done when it is answered was not counted as accepted; the engine, which
-/// counts it, refused the join that named one too few, and what it said then was of before.
+/// Guards against an engine that has left one replica and refuses for half a second to join
+/// another. A replica is given up for a larger one of its domain and its members leave, which is
+/// answered as done. Such an order counts as accepted; otherwise the join carries a number one too
+/// low, is refused, and the next report is still from before the leave.
 TEST(GroupPlannerPlaces, AnEngineThatHasLeftJoinsAtOnce)
 {
   World world(3);
@@ -99,9 +97,8 @@
   EXPECT_EQ(world.mPool.Serving("big"), 3U);
 }
 
-/// Symptom: a free engine never stands ready for a loss, and never gets the weights for it.
-/// Sequence: the order to bring weights onto its host is lost on its way.
-/// Cause: an order that had been given counted as weights on their way, for good.
+/// Guards against a free engine that never gets the weights to be ready for a loss. The order to
+/// stage weights is lost in transit; a sent order must not count as a transfer in progress forever.
 TEST(GroupPlannerPlaces, AnOrderToStageThatComesToNothingIsGivenAgain)
 {
   World world(1);
@@ -115,15 +112,15 @@
   EXPECT_EQ(SparesOf(world).size(), 2U);
 }
 
-/// Symptom: a replica serves though one of its members has never been ready.
-/// Sequence: a replica forms; one member still warms up. An engine that has ended is asked for its
-/// state; at its address another has started, which is a member here, and answers that it is ready.
-/// Cause: the ready were counted, not looked at one by one, and a stranger's word counted as well.
+/// Guards against a replica that serves although one of its members has never been ready. A replica
+/// forms while one member still warms up. A query to an exited engine is answered by the engine now
+/// at that address, which is a member here and is ready. Ready members must be tracked by id; a
+/// count would include the answer of an engine that is no member.
 TEST(GroupPlannerPlaces, AWordOfAnEngineThatIsNoMemberMakesNoneReady)
 {
   World world(1);
   GroupPlanner planner;
-  world.Run(planner, seconds(1)); // loads take longer than that
+  world.Run(planner, seconds(1)); // shorter than a load
   ASSERT_FALSE(planner.Replicas().empty());
   const PlannedReplica replica = planner.Replicas().begin()->second;
   ASSERT_EQ(replica.mPhase, ReplicaPhase::kForming);
--- a/src/pepperbay/placement/group_planner_starts_test.cpp
+++ b/src/pepperbay/placement/group_planner_starts_test.cpp
@@ -5,10 +5,9 @@
 namespace pepperbay {
 namespace {
 
-/// Symptom: a replica's streams stand still until its head breaks, seconds later, and the engine
-/// that caused it stays unused.
-/// Sequence: a member ends and starts again under its id; its registration never lapses.
-/// Cause: an engine was told apart by its id alone, so the new start counted as the old member.
+/// Guards against a replica whose streams stall until its head breaks seconds later, while the
+/// engine that caused it stays unused. A member restarts under its id and its registration never
+/// lapses. An engine identified by its id alone looks like the old member.
 TEST(GroupPlannerStarts, AMemberThatStartedAgainIsReplacedAndComesBackFree)
 {
   World world(1);
@@ -27,11 +26,10 @@
   EXPECT_TRUE(world.mPool.Violations().empty());
 }
 
-/// Symptom: a head that lost its requests is sent new ones, or an engine waits to be forgiven for
-/// what its former start did.
-/// Sequence: a head starts again; the answer of an order to its former start and a report that the
-/// former start gave come in afterwards.
-/// Cause: both were taken for the new start's.
+/// A head restarts; the answer to an order and a report from its stale incarnation arrive
+/// afterwards. Guards against attributing them to the new incarnation: a head that lost its
+/// requests would be sent new ones, or an engine would be excluded for unanswered orders of its
+/// stale incarnation.
 TEST(GroupPlannerStarts, WhatAFormerStartAnsweredIsNotTaken)
 {
   World world(1);
@@ -59,10 +57,10 @@
   EXPECT_TRUE(world.mPool.Violations().empty());
 }
 
-/// Symptom: a replica forms for ever; one member refuses the same join each quarter of a second.
-/// Sequence: an engine accepts orders of an earlier holder and loses their effect: it is in no
-/// replica and its host holds no weights. The next holder takes it for one that has just started.
-/// Cause: after each refusal it was taken for new again and never asked.
+/// Guards against a replica that never finishes forming because a member refuses the same join
+/// every 250 ms. An engine accepts orders of an earlier holder and loses their effect: it is in no
+/// replica and its host holds no weights. The next holder takes it for a newly started engine.
+/// After a refusal it must be queried, not assumed new again.
 TEST(GroupPlannerStarts, AnEngineThatOnlyLooksNewIsAskedAfterItHasRefused)
 {
   World world(1);
@@ -75,11 +73,10 @@
   EXPECT_EQ(world.mPool.Serving("small"), 1U);
 }
 
-/// Symptom: engines that are in no replica are never used again, and when one of them starts again
-/// a whole replica is formed anew, or the holder ends with an exception.
-/// Sequence: another holder has formed a replica anew with fewer of its old members; this one reads
-/// of it in the registrations.
-/// Cause: the index of engines kept the members that the replica no longer has.
+/// Guards against stale entries in the index from engines to replicas. Another holder has re-formed
+/// a replica with fewer of its members, and this holder sees that in the registrations. If the
+/// index keeps the former members, they are never used again, and a restart of one of them re-forms
+/// the whole replica or ends the holder with an exception.
 TEST(GroupPlannerStarts, MembersThatAnotherHolderLeftOutAreFree)
 {
   World world(1);
@@ -93,19 +90,18 @@
   ASSERT_EQ(world.mPool.Serving("small"), 1U);
   world.mFound.erase(out);
   world.Run(second, seconds(3), 7);
-  world.Round(first, 1); // reads what the second has done
+  world.Round(first, 1); // sees the effect of the second holder
   world.mPool.Restart(out, WallTime(seconds(100)));
   world.mGiven.clear();
   world.Run(first, seconds(3), 8);
-  EXPECT_EQ(world.mGiven[GroupOrderKind::kOpen], 0) << "no replica has lost anything";
+  EXPECT_EQ(world.mGiven[GroupOrderKind::kOpen], 0) << "no replica has lost a member";
   EXPECT_EQ(world.mPool.At(out).mRecord.mGroup.mName, "spare-" + out);
   EXPECT_TRUE(world.mPool.Violations().empty());
 }
 
-/// Symptom: the memory of the holder grows with every engine that there ever was.
-/// Sequence: engines die and others with new ids come, for hours.
-/// Cause: what had been learnt of an engine was kept for good. Seen from outside by an id that is
-/// used again much later: nothing of before is known of it.
+/// Guards against memory that grows with every engine ever seen, as engines exit and others with
+/// new ids appear for hours. The test observes this by reusing an id much later: no earlier state
+/// of it may be known.
 TEST(GroupPlannerStarts, AnEngineThatIsLongGoneIsForgotten)
 {
   World world(1);
@@ -121,7 +117,7 @@
   world.mPool.Engines().erase(spare);
   world.Run(planner, seconds(40));
   world.mFound.erase(spare);
-  world.mPool.Add(spare, "d0"); // an empty engine; its counts start anew
+  world.mPool.Add(spare, "d0"); // an empty engine; its counts restart at zero
   int refused = 0;
   world.mFate = [&](const GroupOrder& aOrder) {
     refused += aOrder.mAccepted.value_or(0) != 0 && aOrder.mEngine == spare ? 1 : 0;
--- a/src/pepperbay/placement/group_planner_survivors_test.cpp
+++ b/src/pepperbay/placement/group_planner_survivors_test.cpp
@@ -6,10 +6,10 @@
 namespace pepperbay {
 namespace {
 
-/// Symptom: two replicas of a domain wait for weights for 12 to 24 s, with seven engines that are
-/// well.
-/// Sequence: the spares of a domain are used up; then a replica of each model loses a member.
-/// Cause: each waited for engines of its own, and no host held the other model's weights.
+/// Guards against two broken replicas of a domain that wait 12 to 24 s for weights, with seven
+/// healthy engines between them. The spares of the domain are used up and a replica of each model
+/// loses a member. The failure occurs if each waits for engines of its own and no host holds the
+/// other model's weights.
 TEST(GroupPlannerSurvivors, BrokenReplicasOfADomainCompleteEachOther)
 {
   World world(1);
@@ -26,9 +26,8 @@
   EXPECT_TRUE(world.mPool.Violations().empty()) << world.mPool.Violations().front();
 }
 
-/// Symptom: switched off in a trial, the mechanism seems to be worth nothing.
-/// Sequence: the same losses, with the switch off.
-/// Cause: replicas were given up for each other whatever the switch said.
+/// The same losses with mJoinSurvivors off: no replica may be given up for another. If the option
+/// has no effect, a trial that switches it off shows no benefit of the mechanism.
 TEST(GroupPlannerSurvivors, SwitchedOffNoReplicaIsGivenUpForAnother)
 {
   World world(1);
@@ -50,16 +49,15 @@
   }
 }
 
-/// Pattern: losses fall on the largest replicas first; their domain has no spare left, and the
-/// smaller model has places that nobody uses. Symptom of failure: five engines wait 16 s for a
-/// sixth.
+/// Losses affect the largest replicas first; their domain has no spare left, and the smaller model
+/// has unused slots. Guards against five engines that wait 16 s for a sixth.
 TEST(GroupPlannerSurvivors, AModelWithRoomCompletesOneThatIsShort)
 {
   World world(3);
   GroupPlanner planner;
   world.Run(planner, kAllStaged, 1, milliseconds(100));
   world.mTraffic = true;
-  world.mInFlightOf = { { "big", 20 }, { "small", 8 } }; // of 26 at each
+  world.mInFlightOf = { { "big", 20 }, { "small", 8 } }; // of 26 slots per replica
   world.mStreamsLast = milliseconds(1600);
   const std::string lost = world.MemberOf(planner, "big", 3);
   const std::string domain = world.mPool.At(lost).mRecord.mDomain;
@@ -78,7 +76,7 @@
   EXPECT_EQ(world.mPool.Serving("small"), 2U);
 }
 
-/// Guards against a replica that serves being given up for one that a silent member will complete.
+/// Guards against giving up a serving replica for one that a silent member will complete again.
 TEST(GroupPlannerSurvivors, NoReplicaIsGivenUpForOneWhoseMemberOnlyPauses)
 {
   World world(3);
@@ -89,7 +87,7 @@
   world.mStreamsLast = milliseconds(200);
   const std::string lost = world.MemberOf(planner, "big", 3);
   const std::string domain = world.mPool.At(lost).mRecord.mDomain;
-  bool one = false; // that takes the place of the lost one
+  bool one = false; // that replaces the lost one
   for (const auto& it : SparesOf(world)) {
     if (world.mPool.At(it).mRecord.mDomain == domain && std::exchange(one, true)) {
       world.Kill(it);
@@ -104,8 +102,8 @@
   EXPECT_EQ(world.mPool.Serving("small"), 3U);
 }
 
-/// Pattern: the same losses while the smaller model is full, or has one replica only. To give that
-/// up would refuse as many callers as it helps.
+/// The same losses while the smaller model is full or has one replica only. Giving that one up
+/// would refuse as many requests as it helps.
 TEST(GroupPlannerSurvivors, AModelWithoutRoomKeepsItsReplicas)
 {
   for (const std::size_t domains : { std::size_t(3), std::size_t(1) }) {
@@ -125,8 +123,8 @@
   }
 }
 
-/// Pattern: a replica that is given up has streams. It takes no new ones, and its engines leave it
-/// only when they have ended or had their time.
+/// A replica that is given up has streams in progress. It takes no new ones, and its engines leave
+/// only after the streams have completed or the drain time has passed.
 TEST(GroupPlannerSurvivors, AReplicaThatIsGivenUpEndsItsStreamsFirst)
 {
   World world(3);
@@ -153,10 +151,10 @@
   EXPECT_EQ(world.mGiven[GroupOrderKind::kLeave], 3);
 }
 
-/// Symptom: a replica that could be whole in a second forms for 16 s.
-/// Sequence: a domain has no spare left and an empty engine comes; a replica loses a member and
-/// takes the empty engine; then a spare comes free.
-/// Cause: a repair began with whatever engine was there, and was not begun again.
+/// Guards against a replica that forms for 16 s although it could be whole in a second. A domain
+/// has no spare left and an empty engine appears; a replica loses a member; then a spare becomes
+/// free. The failure occurs if the repair starts at once with the empty engine and is not
+/// restarted.
 TEST(GroupPlannerSurvivors, ARepairDoesNotBeginWithAnEngineThatHasToLoad)
 {
   World world(1);
@@ -166,7 +164,7 @@
   const std::string member = world.MemberOf(planner, "small", 1);
   const auto spares = SparesOf(world);
   for (const auto& it : spares) {
-    world.mFound.insert(it); // nobody reaches them for a while
+    world.mFound.insert(it); // unreachable for a while
   }
   world.Kill(member);
   world.mPool.Add("empty", "d0");
@@ -178,9 +176,9 @@
   EXPECT_TRUE(world.mPool.Violations().empty());
 }
 
-/// Symptom: a replica that has lost members is never whole again, with spares that stand ready.
-/// Sequence: the pool's configuration states no time for joining with staged weights; two members
-/// die. Cause: no engine joins in no time, so none counted as ready.
+/// Guards against a broken replica that is never repaired although spares are ready. The pool's
+/// configuration states no time for joining with staged weights, and two members die. The failure
+/// occurs if a configured time of zero means that no engine counts as ready.
 TEST(GroupPlannerSurvivors, APoolThatStatesNoWarmupHasReadySparesToo)
 {
   EnginePool pool = TwoModels();
@@ -198,9 +196,9 @@
   EXPECT_EQ(world.mPool.Serving("big"), 1U);
 }
 
-/// Symptom: after many losses a domain serves one model only, and that one has places to spare.
-/// Sequence: empty engines come while requests do; the smaller model's few engines are ready first.
-/// Cause: whichever model could be formed at the moment was.
+/// Guards against a domain that serves one model only, with unused slots, after many losses. Empty
+/// engines appear while requests arrive, and the few engines of the smaller model are ready first.
+/// The failure occurs if any model that can be formed at the moment is formed.
 TEST(GroupPlannerSurvivors, TheModelThatIsShortGetsItsEnginesFirst)
 {
   World world(1);
--- a/src/pepperbay/placement/group_planner_test.cpp
+++ b/src/pepperbay/placement/group_planner_test.cpp
@@ -8,13 +8,13 @@
 namespace pepperbay {
 namespace {
 
-/// Guards against a holder whose first round outlasts its lease, as its work grows with the square
-/// of the engines.
+/// Guards against a holder whose first round takes longer than its lease because the work grows
+/// with the square of the number of engines.
 TEST(GroupPlanner, ARoundOfALargePoolLooksAtEachEngineAFewTimes)
 {
   constexpr std::size_t kDomains = 300;
   constexpr std::size_t kPerDomain = 10;
-  constexpr std::size_t kMostLooks = 10; // at each engine
+  constexpr std::size_t kMostLooks = 10; // per engine
   World world(kDomains, kPerDomain);
   GroupPlanner planner;
   std::size_t most = 0;
@@ -36,9 +36,9 @@
   EXPECT_TRUE(world.mPool.Violations().empty());
 }
 
-/// Symptom: a replica is dark for a whole load of weights after one loss, though engines are free.
-/// Sequence: a member dies; a free engine replaces it.
-/// Cause: only an engine whose last group was of the model is quick to join.
+/// Guards against a replica that is out of service for a whole weight load after one loss although
+/// engines are free. A member dies and a free engine replaces it; only an engine whose last group
+/// was of the model joins quickly.
 TEST(GroupPlanner, ASpareStandsReadyForEachModel)
 {
   for (const char* model : { "big", "small" }) {
@@ -67,9 +67,9 @@
   EXPECT_EQ(world.mPool.Serving("big"), 2U);
 }
 
-/// Symptom: after a takeover every replica took no requests for the time of forming.
-/// Sequence: the new holder adopts open replicas and tells the nodes of them.
-/// Cause: they counted as opened at the moment of the takeover.
+/// Guards against replicas that take no requests for the forming time after a takeover. The new
+/// holder adopts open replicas and publishes them to the nodes. The failure occurs if they count as
+/// opened at the moment of the takeover.
 TEST(GroupPlanner, AnAdoptedOpenReplicaHasServedForLong)
 {
   World world(1);
@@ -83,18 +83,16 @@
   }
 }
 
-/// Symptom: an engine is in two replicas at once: it joins a spare's group while the replica that
-/// it never left serves.
-/// Sequence: a member does not answer for a while and is replaced; then it answers again.
-/// Cause: an engine that no planned replica holds was taken for free, though by its own word it was
-/// still in a group.
+/// Guards against an engine in two replicas: joined to a spare's group while the replica that it
+/// never left serves. A member does not answer for a while, is replaced, and answers again. An
+/// engine in no planned replica is not free while it states that it is in a group.
 TEST(GroupPlanner, AReplacedMemberThatComesBackLeavesFirst)
 {
   World world(1);
   GroupPlanner planner;
   world.Run(planner, seconds(40));
   const std::string lost = world.MemberOf(planner, "big", 3);
-  world.mFound.insert(lost); // it lives, but nobody reaches it
+  world.mFound.insert(lost); // alive but unreachable
   world.Run(planner, seconds(2));
   EXPECT_EQ(world.mPool.Serving("big"), 1U);
   world.mFound.erase(lost);
@@ -103,18 +101,17 @@
   EXPECT_GE(world.mGiven[GroupOrderKind::kLeave], 1);
 }
 
-/// Symptom: a replica is formed anew every round and never serves; an engine is said to be in
-/// another replica, which it has left.
-/// Sequence: a replaced member comes back, leaves and is taken for a broken replica; the first join
-/// is lost, so it is asked where it stands.
-/// Cause: its report, which was older than its leaving, went before its registration for good.
+/// Guards against a replica that is re-formed every round and never serves, because an engine that
+/// has left another replica still counts as its member. A replaced member returns, leaves and is
+/// chosen for a broken replica; the first join is lost, so the engine is queried. The failure
+/// occurs if its report, older than its leave, permanently overrides its registration.
 TEST(GroupPlanner, AnOldReportDoesNotHoldAnEngineThatHasLeft)
 {
   World world(1);
   GroupPlanner planner;
   world.Run(planner, seconds(40));
   const std::string back = world.MemberOf(planner, "big", 3);
-  world.mFound.insert(back); // it lives, but nobody reaches it
+  world.mFound.insert(back); // alive but unreachable
   world.Run(planner, seconds(2));
   for (const auto& [id, engine] : world.mPool.Engines()) {
     if (engine.mRecord.mGroup.mName.rfind("spare-", 0) == 0) {
@@ -137,10 +134,9 @@
   EXPECT_TRUE(world.mPool.Violations().empty());
 }
 
-/// Symptom: several replicas form anew at once and wait for loads, though none of their engines has
-/// failed.
-/// Sequence: some engines are cut off from the store; their registrations lapse, and they serve on.
-/// Cause: an engine without a registration was taken for lost without being asked.
+/// Guards against several replicas re-forming at once and waiting for loads although none of their
+/// engines has failed. Some engines are cut off from the store; their registrations lapse while
+/// they serve. An engine without a registration must be queried before it counts as lost.
 TEST(GroupPlanner, AMemberThatIsNoLongerListedButAnswersStays)
 {
   World world(1);
@@ -154,7 +150,7 @@
   EXPECT_EQ(world.mGiven[GroupOrderKind::kOpen], 0);
 }
 
-/// A head without a registration may get no requests: another member becomes the head.
+/// A head without a registration must get no requests: another member becomes the head.
 TEST(GroupPlanner, AHeadThatIsNoLongerListedHandsOver)
 {
   World world(1);
@@ -168,7 +164,7 @@
   EXPECT_TRUE(world.mPool.Violations().empty());
 }
 
-/// A member that left without a word is replaced once its host refuses connections.
+/// A member that left unannounced is replaced once its host refuses connections.
 TEST(GroupPlanner, AnUnlistedMemberThatStopsAnsweringIsReplaced)
 {
   World world(1);
@@ -182,7 +178,7 @@
   EXPECT_EQ(world.mPool.Serving("big"), 1U);
 }
 
-/// Guards against a replica that waits for ever for a member that is neither listed nor heard.
+/// Guards against a replica that waits forever for a member that is neither listed nor answers.
 TEST(GroupPlanner, AnUnlistedMemberThatIsSilentForLongerThanAPauseIsReplaced)
 {
   World world(1);
@@ -205,7 +201,7 @@
   world.mInFlight = 5;
   world.mPool.At(leaving).mRecord.mLeaving = true;
   world.Run(planner, milliseconds(500));
-  EXPECT_EQ(world.mPool.Serving("big"), 1U); // still at work on what it has
+  EXPECT_EQ(world.mPool.Serving("big"), 1U); // still works on its requests in progress
   world.mInFlight = 0;
   world.Run(planner, milliseconds(700));
   EXPECT_EQ(world.mPool.Serving("big"), 1U);
@@ -224,7 +220,7 @@
   EXPECT_TRUE(world.mPool.Violations().empty());
 }
 
-/// Guards against a pool that never forms where the holder can give only few orders at a time.
+/// Guards against a pool that never forms because the holder can send only few orders per round.
 TEST(GroupPlanner, FormsThePoolWithFewOrdersInEachRound)
 {
   World world(6);
@@ -237,7 +233,7 @@
   EXPECT_TRUE(world.mPool.Violations().empty());
 }
 
-/// Guards against engines that count as lost because the holder was too late to hear them.
+/// Guards against engines that count as lost because the holder read their answers too late.
 TEST(GroupPlanner, AnAnswerThatCouldNotBeHeardSaysNothingOfTheEngine)
 {
   World world(1);
@@ -255,16 +251,16 @@
   EXPECT_EQ(world.mPool.Serving("small"), 1U);
 }
 
-/// Symptom: a replica stands still for seconds, a third of all orders go to engines that refuse
-/// them, and a replica without a spare is formed anew four times a second.
-/// Sequence: a member cut off from the store ends and starts again under another id; the list still
-/// has the old one, and the new process answers questions at its address.
-/// Cause: an answer to a question counted as a sign of life of the engine that was meant.
+/// Guards against taking an answer for a sign of life of another engine. A member cut off from the
+/// store exits and restarts under another id. The list still shows the old id, and the new process
+/// answers queries at its address. The failure stalls a replica for seconds, sends a third of all
+/// orders to engines that refuse them, and re-forms a replica without a spare four times per
+/// second.
 TEST(GroupPlanner, AnEngineWhoseAddressBelongsToAnotherIsGone)
 {
   World world(1);
   for (auto& [id, engine] : world.mPool.Engines()) {
-    engine.mRecord.mBorn = WallTime{}; // these engines do not state their start
+    engine.mRecord.mBorn = WallTime{}; // these engines do not report their start time
   }
   GroupPlanner planner;
   world.Run(planner, seconds(40));
@@ -276,7 +272,7 @@
     refused += aOrder.mEngine == gone ? 1 : 0;
     return Fate::kArrives;
   };
-  // The head's streams stand still, and its members are asked.
+  // The head's streams make no progress, and its members are queried.
   planner.OnReport(gone, world.mPool.Report(gone), world.Now());
   world.Run(planner, milliseconds(800));
   EXPECT_EQ(world.mPool.Serving("big"), 1U);
@@ -293,19 +289,19 @@
 {
   kNone,
   kDies,
-  kSeemsLost, ///< lives, and nobody reaches it
-  kPauses,    ///< lives, and may go on
+  kSeemsLost, ///< alive but unreachable
+  kPauses,    ///< alive but silent; may continue
   kIsFound,
   kLeaves,
-  kComes,        ///< a new engine
-  kHolder,       ///< another takes over
+  kComes,        ///< a new engine appears
+  kHolder,       ///< another holder takes over
   kUnlisted,     ///< or listed again
   kRestarts,     ///< under its id
-  kCutOff,       ///< registrations of a replica and of its domain's spares stand still
-  kRegistersAnew ///< all that stood still
+  kCutOff,       ///< registrations of a replica and of its domain's spares become outdated
+  kRegistersAnew ///< all outdated registrations are updated
 };
 
-/// Weights are on the hosts soon, so that engines can change models without a load.
+/// A pool with short load times, so that engines soon change models without a load.
 EnginePool
 QuickLoads()
 {
@@ -317,7 +313,7 @@
   return pool;
 }
 
-/// What befalls the two domains of a world, drawn step by step, and the holders that plan it.
+/// Random faults in the two domains of a world, one per step, and the holders that plan it.
 struct Troubles
 {
   static constexpr std::size_t kPerDomain = 11;
@@ -385,7 +381,7 @@
     }
   }
 
-  /// A part of the network is cut off from the platform's list: a replica and its domain's spares.
+  /// Cuts off a replica and the spares of its domain from the platform's list.
   void CutOffReplicaOf(const std::string& aEngine)
   {
     const std::string group = mWorld.mPool.At(aEngine).mRecord.mGroup.mName;
@@ -398,7 +394,8 @@
     }
   }
 
-  /// Some rounds of the newest holder, and of the one before it, which has not noticed yet.
+  /// Runs some rounds of the newest holder, and of its predecessor, which has not noticed the
+  /// change.
   void Rounds()
   {
     constexpr int kRounds = 5;
@@ -411,7 +408,7 @@
     }
   }
 
-  /// All faults end, and each domain gets as many new engines as it had.
+  /// Ends all faults and adds as many new engines to each domain as it had.
   void End()
   {
     mWorld.mFate = nullptr;
@@ -426,14 +423,14 @@
   }
 
   World mWorld{ 2, kPerDomain, QuickLoads() };
-  std::vector<std::unique_ptr<GroupPlanner>> mHolders; ///< each a later tenure
+  std::vector<std::unique_ptr<GroupPlanner>> mHolders; ///< one per tenure, in order
   std::size_t mAdded = 0;
 };
 
-/// Under any order of losses, returns, leaving, registrations that stand still, lost, slow and late
-/// answers and holders after one another, two at once: no replica serves that is not whole under
-/// its epoch and list, and no engine joins another replica while one that it has not left serves.
-/// And once faults end, every replica stands again.
+/// Invariants under any sequence of losses, returns, departures, outdated registrations, lost, slow
+/// and late answers, and successive holders of which two may be active at once: a replica serves
+/// only if it is whole under its epoch and member list, and no engine joins another replica while a
+/// replica that it has not left serves. Once the faults end, every replica is restored.
 RC_GTEST_PROP(GroupPlanner, NeverServesPartOrTwice, ())
 {
   Troubles troubles;
--- a/src/pepperbay/placement/group_planner_world.hpp
+++ b/src/pepperbay/placement/group_planner_world.hpp
@@ -1,5 +1,6 @@
 /// @file
-/// @brief A planner before a fake pool whose orders and answers can be lost or late, for its tests.
+/// @brief Test harness: a planner and a fake pool, with orders and answers that can be lost or
+/// late.
 #pragma once
 
 #include "fakes/fake_pool.hpp"
@@ -25,19 +26,19 @@
   return pool;
 }
 
-/// What becomes of one order on its way; drawn by the tests.
+/// What happens to one order in transit; chosen by the tests.
 enum class Fate
 {
   kArrives,
   kLost,       ///< before it took effect
   kAnswerLost, ///< after it took effect
-  kUnread,     ///< the same, and the node that gave it was too late to hear the answer
-  kLate,       ///< no answer, and carried out seconds later
+  kUnread,     ///< as kAnswerLost, because the sending node read the answer too late
+  kLate,       ///< not answered, and carried out seconds later
   kSlow,       ///< carried out and answered some rounds later
   kAnswerSlow, ///< carried out at once and answered some rounds later
 };
 
-/// A planner before a fake pool, with a clock that the test moves.
+/// A planner and a fake pool, with a clock that the test advances.
 struct World
 {
   explicit World(std::size_t aDomains,
@@ -96,7 +97,7 @@
     };
     view.mInFlightAtFormerHead = [this](const std::string&, std::uint64_t) { return mInFlight; };
     view.mStandsStill = [this](const std::string& aHead) { return StandsStill(aHead); };
-    if (++mRounds % 35 == 0) { // about every 700 ms whoever left orders unanswered is asked
+    if (++mRounds % 35 == 0) { // about every 700 ms engines with unanswered orders are queried
       const auto unanswering = aPlanner.Unanswering();
       for (const auto& it : unanswering) {
         if (mPool.At(it).mAlive) {
@@ -159,10 +160,10 @@
     return answer;
   }
 
-  /// The engine is cut off from the platform's list: what it registered last stands there.
+  /// Cuts the engine off from the platform's list, which keeps the engine's last registration.
   void CutOff(const std::string& aEngine) { mCutOff[aEngine] = mPool.At(aEngine).mRecord; }
 
-  /// What the platform lists, with the registrations that stand still.
+  /// The platform's list, including the outdated registrations of engines that are cut off.
   EngineMap Listed() const
   {
     EngineMap listed = mPool.Listed();
@@ -175,7 +176,7 @@
     return listed;
   }
 
-  /// What an engine says of itself is as of some time ago.
+  /// Returns an engine's report as of mReportLag ago.
   EngineReport OldReport(const std::string& aEngine)
   {
     const auto& reports = mReports.front().second;
@@ -231,7 +232,8 @@
     }
   }
 
-  /// @return whether nothing moves at a head, as nodes would say: a member of its group has died.
+  /// @return whether nodes would report that a head makes no progress, because a member of its
+  /// group has died or is silent.
   bool StandsStill(const std::string& aHead)
   {
     const auto& members = mPool.At(aHead).mMembers;
@@ -240,7 +242,7 @@
     });
   }
 
-  /// @return for how long the planner has kept new requests from the replica of a head.
+  /// @return how long the planner has kept new requests away from the replica of a head.
   Duration TakesNoneSince(const GroupPlanner& aPlanner, const std::string& aHead)
   {
     for (const auto& [name, replica] : aPlanner.Replicas()) {
@@ -251,18 +253,19 @@
     return Duration::zero();
   }
 
-  /// The engine stops listening and answers no question; it works on for its group.
+  /// The engine stops listening and answers no queries, but keeps working for its group.
   void StopListening(const std::string& aEngine) { mFound.insert(aEngine); }
 
-  /// The engine dies; the platform still lists it, and it is found not to answer at once.
+  /// The engine exits. The platform still lists it, and it is detected at once as not answering.
   void Kill(const std::string& aEngine)
   {
     mPool.At(aEngine).mAlive = false;
     mFound.insert(aEngine);
   }
 
-  /// Every engine ends; after a while as many empty ones come in each domain, under new ids.
-  /// @return when they came
+  /// All engines exit. After aAfter the same number of empty engines appears in each domain under
+  /// new ids.
+  /// @return when they appeared
   TimePoint RestartEmpty(GroupPlanner& aPlanner, std::size_t aDomains, Duration aAfter)
   {
     for (auto& [id, engine] : mPool.Engines()) {
@@ -290,45 +293,45 @@
   }
 
   ManualClock mClock;
-  /// Registrations come to the holder so late.
+  /// Delay until registrations reach the holder.
   Duration mListLag = milliseconds(40);
   std::deque<std::pair<TimePoint, EngineMap>> mLag;
   FakePool mPool;
   Duration mReportLag = milliseconds(200);
   std::deque<std::pair<TimePoint, std::map<std::string, EngineReport>>> mReports;
-  std::set<std::string> mFound;  ///< not to answer, and to have ended
-  std::set<std::string> mSilent; ///< these answer nothing, and may go on
+  std::set<std::string> mFound;  ///< detected as not answering and exited
+  std::set<std::string> mSilent; ///< do not answer, and may continue
   std::function<Fate(const GroupOrder&)> mFate;
   std::vector<std::pair<TimePoint, GroupOrder>> mLate;
-  /// An order whose answer is still to come.
+  /// An order whose answer is pending.
   struct SlowOrder
   {
     TimePoint mDue{};
     GroupPlanner* mPlanner = nullptr;
     GroupOrder mOrder;
-    std::optional<OrderAnswer> mAnswer; ///< none: not carried out yet
+    std::optional<OrderAnswer> mAnswer; ///< nullopt: not carried out yet
   };
   static constexpr milliseconds kSlowAnswer{ 120 };
   std::deque<SlowOrder> mSlow;
-  std::map<std::string, EngineRecord> mCutOff; ///< by engine, as it registered last
+  std::map<std::string, EngineRecord> mCutOff; ///< last registration, by engine
   std::map<GroupOrderKind, int> mGiven;
-  int mMostOrders = std::numeric_limits<int>::max(); ///< in a round
-  int mMostGiven = 0;                                ///< in a round
-  std::map<std::string, int> mJoins;                 ///< given, by engine
+  int mMostOrders = std::numeric_limits<int>::max(); ///< per round
+  int mMostGiven = 0;                                ///< most orders in one round
+  std::map<std::string, int> mJoins;                 ///< join orders, by engine
   int mRefusedJoins = 0;
-  int mInFlight = 0; ///< at each head
-  /// Requests at a head that takes no new ones have ended after this; without it they never do.
+  int mInFlight = 0; ///< requests in progress at each head
+  /// Requests at a head that takes no new ones complete after this; nullopt: never.
   std::optional<Duration> mStreamsLast;
-  std::map<std::string, int> mInFlightOf; ///< the same by model, where it differs
-  std::map<std::string, double> mLimits;  ///< that heads name, in requests a second
+  std::map<std::string, int> mInFlightOf; ///< as mInFlight, by model; overrides it
+  std::map<std::string, double> mLimits;  ///< rate limits by head, in requests per second
   int mRounds = 0;
   bool mTraffic = false;
 };
 
-/// By then every host of two domains holds the weights that it is to hold, one load at a time.
+/// Time after which every host of two domains has staged all its weights, one load at a time.
 inline constexpr seconds kAllStaged{ 500 };
 
-/// The engines of a world that are in no replica.
+/// The engines that are in no replica.
 inline std::vector<std::string>
 SparesOf(World& aWorld)
 {
--- a/src/pepperbay/placement/planner_test.cpp
+++ b/src/pepperbay/placement/planner_test.cpp
@@ -10,7 +10,7 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-/// A data centre as the planner sees it: hosts that say what the model makes them say.
+/// A data centre as seen by the planner. Its hosts report what the test sets.
 class Model
 {
 public:
@@ -66,7 +66,8 @@
     ASSERT_EQ(Fold(record), FoldVerdict::kAccepted);
   }
 
-  /// One round: hosts speak, the planner decides, the fold judges, hosts that answer obey.
+  /// Runs one round: hosts report, the planner plans, the fold judges the records, and hosts that
+  /// answer carry out the orders.
   PlanOutcome Round(bool aDrained = true)
   {
     for (const auto& [host, said] : mSays) {
@@ -163,13 +164,13 @@
   model.Profile("small", 1, 100, 1);
   model.Rounds(4);
   EXPECT_EQ(model.Whole("big"), 4);
-  EXPECT_EQ(model.Whole("small"), 2) << "the hosts that no replica of four can use";
+  EXPECT_EQ(model.Whole("small"), 2) << "hosts left over by replicas of four";
   EXPECT_EQ(model.Round().mSpares, 0);
 }
 
-/// Symptom: with downtime weighed high, no host is kept for repairs all the same.
-/// Cause: counting only hosts of replicas that stood before the round, of which there are none when
-/// a data centre is first filled.
+/// Guards against keeping no host for repairs although downtime is weighted highly. The failure
+/// occurs if only hosts of replicas from before the round are counted, and there are none when a
+/// data centre is first filled.
 TEST(Planner, KeepsASpareFromTheFirstRoundWhenDowntimeIsDear)
 {
   Model model(1, 8);
@@ -178,14 +179,13 @@
   model.mPlanner = Planner(options);
   model.Profile("p", 4, 500, 5);
   model.Rounds(4);
-  EXPECT_EQ(model.Whole("p"), 1) << "what its share entitles it to";
+  EXPECT_EQ(model.Whole("p"), 1) << "the replicas due by its share";
   EXPECT_EQ(model.Round().mSpares, 4);
 }
 
-/// Symptom: a holder that has just taken over closes a serving replica.
-/// Sequence: it has not read any host back yet, so no host seems usable; every share rounds down to
-/// one replica and profiles seem to be far above theirs.
-/// Cause: counting shares over hosts read back in this tenure, in place of hosts that answer.
+/// Guards against a new holder that closes a serving replica. It has no host reports of its tenure
+/// yet, so no host looks usable: every share rounds down to one replica and profiles seem far above
+/// their shares. Shares must count hosts that answer, not hosts with a report in this tenure.
 TEST(Planner, ANewTenureDoesNotShrinkShares)
 {
   Model model(1, 8);
@@ -193,7 +193,7 @@
   model.Rounds(3);
   ASSERT_EQ(model.Whole("a"), 2);
   PlanInput input = model.Input();
-  input.mHeldSince = model.mClock.Now() + seconds(1); // nothing said since
+  input.mHeldSince = model.mClock.Now() + seconds(1); // no report since
   input.mDrained = [](const auto&, auto) { return true; };
   model.Profile("a", 4, 500, 5);
   model.Profile("b", 4, 500, 5);
@@ -226,7 +226,8 @@
     model.mState.Content().replicas().begin()->second.assign().members(1).host();
   model.mSilent.insert(host);
   model.Rounds(4);
-  EXPECT_EQ(model.mState.Content().generations().begin()->second, 1U) << "may still be a blip";
+  EXPECT_EQ(model.mState.Content().generations().begin()->second, 1U)
+    << "still within the blip time";
   model.Rounds(8);
   EXPECT_EQ(model.mState.Content().generations().begin()->second, 2U);
   EXPECT_EQ(model.mState.ReplicaOfHost(host), nullptr);
@@ -245,7 +246,7 @@
   EXPECT_EQ(model.mState.Content().generations().begin()->second, 2U);
 }
 
-/// Two replicas of one domain have lost a host each and there is no spare: one is completed from
+/// Two replicas of one domain have lost one host each and there is no spare. One is completed from
 /// the other, so that one is whole instead of none.
 TEST(Planner, CompletesOneBrokenReplicaFromAnother)
 {
@@ -279,7 +280,7 @@
   model.Rounds(4);
   EXPECT_EQ(model.mState.ReplicaOfHost(host), nullptr);
   EXPECT_EQ(model.Whole("p"), 2);
-  model.mSays[host].set_host_incarnation(2); // started anew: the stop is over
+  model.mSays[host].set_host_incarnation(2); // restarted: the planned stop is over
   model.Rounds(2);
   model.mSilent.insert(
     model.mState.Content().replicas().begin()->second.assign().members(0).host());
@@ -290,7 +291,7 @@
 TEST(Planner, ARollNeverGoesBelowTheShare)
 {
   Model model(1, 12);
-  model.Profile("p", 4, 500, 5); // a floor of one; the leftover hosts make it three
+  model.Profile("p", 4, 500, 5); // a floor of one; the remaining hosts make it three
   model.Rounds(3);
   ASSERT_EQ(model.Whole("p"), 3);
   model.Profile("p", 4, 500, 5, "2");
@@ -341,13 +342,13 @@
   EXPECT_EQ(model.Whole("b"), 1);
 }
 
-/// Any history of silences, returns and restarts: every record of the planner is accepted by the
-/// fold (it never proposes a host twice or across domains), and once all hosts are back and quiet,
-/// every replica is whole and no domain holds enough idle hosts for another.
-/// Symptom: after a day of failures the profile of large replicas is dark in part while another one
-/// has more than its share. Sequence: hosts fail and return one by one; each that is free by itself
-/// becomes a replica of the profile of single hosts; a whole group never comes free again. Cause:
-/// measuring shares by the hosts that are up at the moment, of which there were always enough.
+/// For any history of silences, returns and restarts, the fold accepts every record of the planner
+/// (no host is assigned twice or across domains). Once all hosts are back and stable, every replica
+/// is whole and no domain has enough idle hosts for another.
+/// Guards against a profile of large replicas that stays partly out of service after a day of
+/// failures while another has more than its share. Hosts fail and return one by one; each free host
+/// becomes a replica of the single-host profile, so a whole group is never free again. The failure
+/// occurs if shares are measured by the hosts that answer at the moment.
 TEST(Planner, HostsThatReturnGoToTheProfileBelowItsShareOfAllHosts)
 {
   Model model(1, 20);
@@ -357,10 +358,10 @@
   ASSERT_EQ(model.Whole("big"), 4);
   const std::vector<std::string> lost = { "d0h0", "d0h1", "d0h2", "d0h3", "d0h4", "d0h5" };
   model.mSilent.insert(lost.begin(), lost.end());
-  model.Rounds(200); // what is broken is given up or completed from another
+  model.Rounds(200); // broken replicas are given up or completed
   for (const auto& it : lost) {
     if (it == lost.back()) {
-      break; // one stays away: 19 hosts, of which 800 in a thousand make 3.8 groups of four
+      break; // one host is missing: 800/1000 of 19 hosts make 3.8 groups of four
     }
     model.mSilent.erase(it);
     model.mSays[it].clear_replica();
@@ -387,7 +388,7 @@
     } else if (kind == 1) {
       model.mSilent.erase(host);
     } else if (kind == 2) {
-      proto::Evidence& said = model.mSays[host]; // restarted, empty
+      proto::Evidence& said = model.mSays[host]; // restarted empty
       said.set_host_incarnation(said.host_incarnation() + 1);
       said.clear_replica();
       said.set_phase(proto::PHASE_IDLE);
@@ -461,7 +462,7 @@
   model.Profile("later", 4, 500, 5);
   model.Profile("urgent", 4, 500, 0);
   model.Round();
-  for (auto& [host, said] : model.mSays) { // as if nobody had obeyed yet
+  for (auto& [host, said] : model.mSays) { // no order has been carried out yet
     said.clear_replica();
     said.set_phase(proto::PHASE_IDLE);
   }
@@ -473,12 +474,13 @@
   for (int i = 0; i < 4; ++i) {
     EXPECT_EQ(orders[static_cast<std::size_t>(i)].mReplica, "dc/urgent-1");
   }
-  EXPECT_TRUE(plan.Due(model.Input()).empty()) << "not the same order again at once";
+  EXPECT_TRUE(plan.Due(model.Input()).empty()) << "the same order is not repeated at once";
 }
 
-/// Symptom: a host that ignores fencing numbers obeys a former holder after the new one.
-/// Sequence: the former holder pauses, its lease passes on, the new holder orders at once, the
-/// former one's order arrives last. Cause: not waiting until no older order can still arrive.
+/// Guards against a host that ignores fencing numbers and carries out an order of a former holder
+/// after one of the new holder. The former holder pauses and loses its lease, the new one orders,
+/// and the former one's order arrives last. The new holder must wait until no older order can
+/// arrive.
 TEST(OrderPlan, WaitsBeforeOrderingHostsThatIgnoreFencingNumbers)
 {
   Model model(1, 4);
@@ -504,7 +506,7 @@
     return plan.Due(input).size();
   };
   EXPECT_EQ(ordersAt(seconds(1)), 0U);
-  EXPECT_EQ(ordersAt(seconds(8) - milliseconds(1)), 0U) << "lease and order timeout together";
+  EXPECT_EQ(ordersAt(seconds(8) - milliseconds(1)), 0U) << "lease duration plus order timeout";
   EXPECT_EQ(ordersAt(seconds(9)), 4U);
 }
 
--- a/src/pepperbay/placement/reserves_test.cpp
+++ b/src/pepperbay/placement/reserves_test.cpp
@@ -16,7 +16,8 @@
   return member;
 }
 
-/// A folded state: replica r of a and b, spare s reserved for it, holder n with fencing number 2.
+/// A folded state: replica r with members a and b, spare s reserved for it, holder n with fencing
+/// number 2.
 State
 Folded()
 {
@@ -55,8 +56,8 @@
   std::function<void(proto::Assign&)> mChange;
 };
 
-/// Without the log, only what the log has set aside may be done. Anything else a node tells of is
-/// not taken up, or two nodes could each make up a replica.
+/// Without the log, only reservations from the log may be carried out. Nodes reject any other
+/// repair, since two nodes could otherwise create a replica each.
 TEST(Reserves, OnlyReservationsAreCarriedOut)
 {
   EXPECT_TRUE(CarriesOutReservation(Folded(), Repair()));
