--- a/include/pepperbay/placement/composition.hpp
+++ b/include/pepperbay/placement/composition.hpp
@@ -30,23 +30,23 @@
   CompositionPolicy mPolicy = CompositionPolicy::kPressure;
   /// Time constant of the average of slots in use. Shorter than a burst, longer than random
   /// variation of arrivals over a fraction of a second.
-  Duration mMemory = std::chrono::milliseconds(300);
+  Duration mAveragingTime = std::chrono::milliseconds(300);
   /// A model is short of slots if at least this fraction of them is in use.
-  double mShort = 0.8;
+  double mShortageUtilisation = 0.8;
   /// A model with a smaller fraction of its slots in use gains nothing from more slots.
-  double mEnough = 0.5;
+  double mSufficientUtilisation = 0.5;
   /// Maximum fraction of the donor's remaining slots in use after it has given replicas up.
   /// Replicas with long prompts are busy with little more than half of their slots in use.
-  double mMostAfterGiving = 0.55;
+  double mMaxDonorUtilisation = 0.55;
   /// Minimum difference between the utilisation of the receiving model and that of the donor after
   /// it has given replicas up. With a smaller difference the next wave of requests would move the
   /// same engines back.
-  double mLeastGain = 0.15;
+  double mMinGain = 0.15;
   /// Minimum number of replicas of each model, so that the loss of one replica does not leave the
   /// model without any.
-  std::size_t mLeastReplicas = 2;
+  std::size_t mMinReplicas = 2;
   /// Maximum fraction of the pool's engines that may be moving between models at once.
-  double mMostMoving = 0.25;
+  double mMaxMovingShare = 0.25;
 };
 
 /// One model's replicas and the use of their slots.
@@ -61,13 +61,13 @@
 /// @return the fraction of a model's slots that would be in use with aFewer replicas fewer; above 1
 /// while requests wait, infinite if no replica would be left.
 double
-PartInUse(const ModelUse& aUse, int aSlots, std::size_t aFewer = 0);
+SlotUtilisation(const ModelUse& aUse, int aSlots, std::size_t aFewer = 0);
 
 /// The average number of slots in use, by model.
-class PlaceUse
+class SlotUsage
 {
 public:
-  explicit PlaceUse(Duration aMemory);
+  explicit SlotUsage(Duration aMemory);
   void Observe(const std::string& aModel, int aInUse, TimePoint aNow);
   double InUse(const std::string& aModel) const;
 
@@ -77,7 +77,7 @@
     double mValue = 0;
     TimePoint mAt{};
   };
-  Duration mMemory;
+  Duration mAveragingTime;
   std::map<std::string, Average> mAverages;
 };
 
@@ -92,10 +92,11 @@
 /// @return the two models between which moving a replica helps most; nullopt if no move helps
 ///
 /// @code
-/// if (const auto need = NextTrade(uses, pool.mSlots, options)) { give a replica of need->mFrom up
+/// if (const auto need = NextRebalance(uses, pool.mSlots, options)) {
+///   // give up a replica of need->mFrom for replicas of need->mTo
 /// }
 /// @endcode
 std::optional<CompositionNeed>
-NextTrade(const std::vector<ModelUse>& aUses, int aSlots, const CompositionOptions& aOptions);
+NextRebalance(const std::vector<ModelUse>& aUses, int aSlots, const CompositionOptions& aOptions);
 
 } // namespace pepperbay
--- a/include/pepperbay/placement/group_planner.hpp
+++ b/include/pepperbay/placement/group_planner.hpp
@@ -87,7 +87,7 @@
   CompositionOptions mComposition;
   /// Engines that were released for another model and have not formed replicas of it after this
   /// time count as free again.
-  Duration mTradeMost = std::chrono::seconds(14);
+  Duration mMaxRebalanceTime = std::chrono::seconds(14);
   /// A broken replica counts as about to serve for this long: most repairs take a second.
   Duration mCountsBroken = std::chrono::seconds(3);
   /// Maximum number of concurrent weight loads onto hosts of members while requests arrive: a
@@ -247,7 +247,7 @@
     TimePoint mUntil{};
   };
   /// Engines of a domain that are moving from one model to another.
-  struct Trade
+  struct Rebalance
   {
     std::string mFrom;
     std::string mTo;
@@ -255,11 +255,11 @@
     TimePoint mUntil{};
   };
   /// The replicas that a domain would give up for a model, and the gain.
-  struct TradeOffer
+  struct RebalanceOffer
   {
     std::string mDomain;
     std::vector<PlannedReplica*> mDonors; ///< empty if there is nothing to give up
-    std::size_t mGets = 0;                ///< number of new replicas
+    std::size_t mGained = 0;              ///< number of new replicas
     int mInUse = 0;                       ///< requests in progress at the donors
   };
   /// One incarnation of an engine.
@@ -332,27 +332,27 @@
   std::vector<ModelUse> CountUses() const;
   /// @return requests in progress at an open replica plus the slots that its head's rate limit
   /// leaves empty.
-  int PlacesInUse(const PlannedReplica& aReplica) const;
+  int SlotsInUse(const PlannedReplica& aReplica) const;
   /// @return whether a replica has slots for requests now or will have them shortly.
   bool CountsAsServing(const PlannedReplica& aReplica) const;
   /// Gives up replicas of a model whose slots are hardly used for a model that is short of slots.
-  void TradeReplicas();
+  void RebalanceReplicas();
   /// @return whether a domain was found where this can be done at once
-  bool BeginTrade(const CompositionNeed& aNeed);
+  bool BeginRebalance(const CompositionNeed& aNeed);
   /// @return the offer that yields most replicas among the domains without a rebalance in progress;
   /// ties are broken by the fewest requests to wait for.
-  TradeOffer BestOffer(const ModelSpec& aFrom, const ModelSpec& aTo);
-  void NoteChange(const std::string& aFrom, const std::string& aTo, const TradeOffer& aOffer);
+  RebalanceOffer BestOffer(const ModelSpec& aFrom, const ModelSpec& aTo);
+  void RecordChange(const std::string& aFrom, const std::string& aTo, const RebalanceOffer& aOffer);
   /// Keeps replicas of a model that were to be given up but still serve.
   /// @return whether there were any
-  bool TakeBack(const std::string& aModel);
+  bool KeepServing(const std::string& aModel);
   /// @return the number of replicas of a model that take requests.
-  std::size_t OpenReplicas(const std::string& aModel) const;
+  std::size_t CountOpenReplicas(const std::string& aModel) const;
   /// @return the replicas of a model in a domain to give up for one of another model; empty if
   /// none.
-  std::vector<PlannedReplica*> TradeDonors(const std::string& aDomain,
-                                           const ModelSpec& aFrom,
-                                           const ModelSpec& aTo);
+  std::vector<PlannedReplica*> RebalanceDonors(const std::string& aDomain,
+                                               const ModelSpec& aFrom,
+                                               const ModelSpec& aTo);
   /// @return the number of members of the replicas that can join a model without loading weights.
   std::size_t QuickMembers(const std::vector<PlannedReplica*>& aReplicas,
                            const std::string& aModel) const;
@@ -360,15 +360,15 @@
   /// @return the model that free engines of a domain form a replica of: the target of a rebalance
   /// there, or the model furthest below its share of the engines; null if there are too few
   /// engines.
-  const ModelSpec* MostShort(const std::string& aDomain,
-                             std::size_t aFree,
-                             std::size_t aEngines,
-                             const std::map<std::string, std::size_t>& aHave) const;
+  const ModelSpec* MostUnderprovisioned(const std::string& aDomain,
+                                        std::size_t aFree,
+                                        std::size_t aEngines,
+                                        const std::map<std::string, std::size_t>& aHave) const;
   /// Counts a new replica towards the rebalance in progress.
-  void NoteFormed(const std::string& aDomain, const std::string& aModel);
+  void CountFormed(const std::string& aDomain, const std::string& aModel);
   /// @return the fraction of a model's slots in use if aWithout of its open replicas were missing;
   /// above 1 while requests wait, infinite if none would be left.
-  double PlacesInUse(const std::string& aModel, std::size_t aWithout) const;
+  double ModelSlotUtilisation(const std::string& aModel, std::size_t aWithout) const;
   /// @return the number of engines that a broken replica lacks and that no ready engine of its
   /// domain can replace.
   std::size_t LacksReady(const PlannedReplica& aReplica) const;
@@ -461,10 +461,10 @@
   /// them until the engines have left. Without this record, such a replica would be adopted and
   /// given up again.
   std::map<std::string, GivenUp> mGivenUp;
-  std::map<std::string, Trade> mTrades; ///< by domain
+  std::map<std::string, Rebalance> mRebalances; ///< by domain
   std::vector<CompositionChange> mChanges;
   std::set<std::string> mDomainsWithLosses; ///< domains with replicas that broke in this tenure
-  PlaceUse mPlaceUse;
+  SlotUsage mSlotUsage;
   std::vector<ModelUse> mUses;
   TimePoint mUseDue{};
   std::map<std::string, Spare> mSpares;
--- a/scripts/mutants/composition.sh
+++ b/scripts/mutants/composition.sh
@@ -2,19 +2,19 @@
 # scripts/mutants.sh.
 # shellcheck shell=bash disable=SC2154
 p=$s/placement
-mutant "trades without a least gain" $p/composition.cpp \
-  's/before - after >= aOptions.mLeastGain/true/' placement_composition_test '*DoNotTurnBack*'
-mutant "a model keeps no least replicas" $p/composition.cpp \
-  's/aFrom.mReplicas < aOptions.mLeastReplicas \+ conversion.mGives/false/' \
+mutant "rebalances without a minimum gain" $p/composition.cpp \
+  's/before - after >= aOptions.mMinGain/true/' placement_composition_test '*DoNotTurnBack*'
+mutant "a model keeps no minimum of replicas" $p/composition.cpp \
+  's/aFrom.mReplicas < aOptions.mMinReplicas \+ conversion.mGives/false/' \
   placement_composition_test '*KeepsItsLeastReplicas*'
 mutant "a model gives whatever it needs itself" $p/composition.cpp \
-  's/after <= aOptions.mMostAfterGiving \&\& afterLoss <= 1.0 \&\&/true \&\&/' \
+  's/after <= aOptions.mMaxDonorUtilisation \&\& afterLoss <= 1.0 \&\&/true \&\&/' \
   placement_composition_test '*FullGivesNothing*:*DoNotTurnBack*'
 mutant "engines leave before streams have ended" $p/group_planner_composition.cpp \
   's/it->mGivenUp = true;/it->mGivenUp = true; Break(*it, "", mView->mNow);/' \
   placement_group_planner_composition_test '*EndsItsStreamsFirst*'
 mutant "nothing is taken back" $p/group_planner_composition.cpp \
-  's/if \(TakeBack\(aNeed.mTo\)\)/if (false)/' \
+  's/if \(KeepServing\(aNeed.mTo\)\)/if (false)/' \
   placement_group_planner_composition_test '*TakenBack*'
 mutant "the least is counted with replicas just found broken" $p/group_planner_composition.cpp \
   's/const bool kept = serves .*/const bool kept = false;/' \
--- a/src/pepperbay/placement/composition_test.cpp
+++ b/src/pepperbay/placement/composition_test.cpp
@@ -22,7 +22,7 @@
 /// of one model waiting while engines of the other are idle.
 TEST(Composition, BurstOfTheSmallerModelTakesReplicasOfTheLarger)
 {
-  const auto need = NextTrade({ Use("big", 8, 9, 33), Use("small", 2, 36, 700) }, kSlots, {});
+  const auto need = NextRebalance({ Use("big", 8, 9, 33), Use("small", 2, 36, 700) }, kSlots, {});
   ASSERT_TRUE(need.has_value());
   EXPECT_EQ(need->mFrom, "big");
   EXPECT_EQ(need->mTo, "small");
@@ -32,7 +32,7 @@
 /// last burst.
 TEST(Composition, BurstOfTheLargerModelTakesReplicasOfTheSmaller)
 {
-  const auto need = NextTrade({ Use("big", 8, 5, 110), Use("small", 2, 52, 490) }, kSlots, {});
+  const auto need = NextRebalance({ Use("big", 8, 5, 110), Use("small", 2, 52, 490) }, kSlots, {});
   ASSERT_TRUE(need.has_value());
   EXPECT_EQ(need->mFrom, "small");
   EXPECT_EQ(need->mTo, "big");
@@ -42,14 +42,14 @@
 TEST(Composition, AModelThatIsFullGivesNothing)
 {
   EXPECT_FALSE(
-    NextTrade({ Use("big", 8, 9, 170), Use("small", 2, 36, 1000) }, kSlots, {}).has_value());
+    NextRebalance({ Use("big", 8, 9, 170), Use("small", 2, 36, 1000) }, kSlots, {}).has_value());
 }
 
 /// Guards against leaving a model with so few replicas that it cannot lose one.
 TEST(Composition, EachModelKeepsItsLeastReplicas)
 {
   EXPECT_FALSE(
-    NextTrade({ Use("big", 8, 2, 0), Use("small", 2, 36, 1000) }, kSlots, {}).has_value());
+    NextRebalance({ Use("big", 8, 2, 0), Use("small", 2, 36, 1000) }, kSlots, {}).has_value());
 }
 
 /// Guards against a change of replicas although the operator has chosen fixed shares.
@@ -57,8 +57,8 @@
 {
   CompositionOptions options;
   options.mPolicy = CompositionPolicy::kShares;
-  EXPECT_FALSE(
-    NextTrade({ Use("big", 8, 9, 10), Use("small", 2, 36, 1000) }, kSlots, options).has_value());
+  EXPECT_FALSE(NextRebalance({ Use("big", 8, 9, 10), Use("small", 2, 36, 1000) }, kSlots, options)
+                 .has_value());
 }
 
 /// Guards against flapping: under constant demand, no sequence of rebalances reverses itself, and
@@ -77,7 +77,7 @@
   const CompositionOptions options;
   std::set<std::pair<std::string, std::string>> done;
   for (int step = 0; step < 400; ++step) {
-    const auto need = NextTrade(uses, kSlots, options);
+    const auto need = NextRebalance(uses, kSlots, options);
     if (!need) {
       return;
     }
@@ -92,8 +92,8 @@
     const std::size_t gives = from.mSize >= to.mSize ? 1 : (to.mSize + from.mSize - 1) / from.mSize;
     from.mReplicas -= gives;
     to.mReplicas += from.mSize >= to.mSize ? from.mSize / to.mSize : 1;
-    RC_ASSERT(from.mReplicas >= options.mLeastReplicas);
-    RC_ASSERT(PartInUse(from, kSlots) <= options.mMostAfterGiving);
+    RC_ASSERT(from.mReplicas >= options.mMinReplicas);
+    RC_ASSERT(SlotUtilisation(from, kSlots) <= options.mMaxDonorUtilisation);
   }
   RC_FAIL("trades without end");
 }
@@ -101,7 +101,7 @@
 /// Guards against decisions based on momentary arrivals.
 TEST(Composition, UseIsAveragedOverTime)
 {
-  PlaceUse use(milliseconds(700));
+  SlotUsage use(milliseconds(700));
   TimePoint now{ seconds(1) };
   use.Observe("small", 100, now);
   now += milliseconds(200);
--- a/src/pepperbay/placement/group_planner.cpp
+++ b/src/pepperbay/placement/group_planner.cpp
@@ -58,7 +58,7 @@
 
 GroupPlanner::GroupPlanner(GroupPlannerOptions aOptions)
   : mOptions(aOptions)
-  , mPlaceUse(aOptions.mComposition.mMemory)
+  , mSlotUsage(aOptions.mComposition.mAveragingTime)
 {
 }
 
@@ -80,7 +80,7 @@
   }
   RepairBroken();
   if (mView->mTraffic && ObserveUse()) {
-    TradeReplicas();
+    RebalanceReplicas();
   }
   FormNew();
   Drive();
--- a/src/pepperbay/placement/group_planner_composition.cpp
+++ b/src/pepperbay/placement/group_planner_composition.cpp
@@ -40,17 +40,17 @@
       ++use->mReplicas;
     }
   }
-  for (const auto& [domain, trade] : mTrades) {
-    const auto use = useOf(trade.mTo);
+  for (const auto& [domain, rebalance] : mRebalances) {
+    const auto use = useOf(rebalance.mTo);
     if (use != uses.end()) {
-      use->mReplicas += trade.mComing;
+      use->mReplicas += rebalance.mComing;
     }
   }
   return uses;
 }
 
 int
-GroupPlanner::PlacesInUse(const PlannedReplica& aReplica) const
+GroupPlanner::SlotsInUse(const PlannedReplica& aReplica) const
 {
   const std::string& head = aReplica.mMembers.front();
   const int inFlight = mView->mInFlight(head);
@@ -71,11 +71,11 @@
 bool
 GroupPlanner::ObserveUse()
 {
-  for (auto it = mTrades.begin(); it != mTrades.end();) {
+  for (auto it = mRebalances.begin(); it != mRebalances.end();) {
     // The configuration may no longer contain the model that the engines were released for.
     const bool over =
       mView->mNow >= it->second.mUntil || mView->mPool->FindModel(it->second.mTo) == nullptr;
-    it = over ? mTrades.erase(it) : std::next(it);
+    it = over ? mRebalances.erase(it) : std::next(it);
   }
   if (mView->mNow < mUseDue) {
     return false;
@@ -84,27 +84,27 @@
   std::map<std::string, int> inUse;
   for (const auto& [name, replica] : mReplicas) {
     if (replica.mPhase == ReplicaPhase::kOpen) {
-      inUse[replica.mModel] += PlacesInUse(replica);
+      inUse[replica.mModel] += SlotsInUse(replica);
     }
   }
   mUses = CountUses();
   for (auto& it : mUses) {
-    mPlaceUse.Observe(it.mModel, inUse[it.mModel], mView->mNow);
-    it.mInUse = mPlaceUse.InUse(it.mModel);
+    mSlotUsage.Observe(it.mModel, inUse[it.mModel], mView->mNow);
+    it.mInUse = mSlotUsage.InUse(it.mModel);
   }
   return true;
 }
 
 void
-GroupPlanner::TradeReplicas()
+GroupPlanner::RebalanceReplicas()
 {
-  while (const auto need = NextTrade(mUses, mView->mPool->mSlots, mOptions.mComposition)) {
-    if (!BeginTrade(*need)) {
+  while (const auto need = NextRebalance(mUses, mView->mPool->mSlots, mOptions.mComposition)) {
+    if (!BeginRebalance(*need)) {
       return;
     }
     std::vector<ModelUse> uses = CountUses();
     for (auto& it : uses) {
-      it.mInUse = mPlaceUse.InUse(it.mModel);
+      it.mInUse = mSlotUsage.InUse(it.mModel);
     }
     mUses = std::move(uses);
   }
@@ -114,8 +114,8 @@
 GroupPlanner::MovingEngines() const
 {
   std::size_t n = 0;
-  for (const auto& [domain, trade] : mTrades) {
-    n += trade.mComing * mView->mPool->FindModel(trade.mTo)->mSize;
+  for (const auto& [domain, rebalance] : mRebalances) {
+    n += rebalance.mComing * mView->mPool->FindModel(rebalance.mTo)->mSize;
   }
   return n;
 }
@@ -135,7 +135,7 @@
 }
 
 std::size_t
-GroupPlanner::OpenReplicas(const std::string& aModel) const
+GroupPlanner::CountOpenReplicas(const std::string& aModel) const
 {
   return static_cast<std::size_t>(
     std::count_if(mReplicas.begin(), mReplicas.end(), [&aModel](const auto& aReplica) {
@@ -146,7 +146,9 @@
 }
 
 std::vector<PlannedReplica*>
-GroupPlanner::TradeDonors(const std::string& aDomain, const ModelSpec& aFrom, const ModelSpec& aTo)
+GroupPlanner::RebalanceDonors(const std::string& aDomain,
+                              const ModelSpec& aFrom,
+                              const ModelSpec& aTo)
 {
   std::vector<std::pair<int, PlannedReplica*>> candidates; // with their requests in progress
   for (auto& [name, replica] : mReplicas) {
@@ -155,18 +157,18 @@
                         mView->mNow >= replica.mNotBefore;
     if (replica.mDomain == aDomain && replica.mModel == aFrom.mName && !replica.mGivenUp &&
         (serves || broken)) {
-      const int inUse = broken ? 0 : PlacesInUse(replica);
+      const int inUse = broken ? 0 : SlotsInUse(replica);
       candidates.emplace_back(inUse, &replica);
     }
   }
   std::stable_sort(candidates.begin(), candidates.end(), [](const auto& aLeft, const auto& aRight) {
     return aLeft.first < aRight.first;
   });
-  std::size_t serving = OpenReplicas(aFrom.mName);
+  std::size_t serving = CountOpenReplicas(aFrom.mName);
   std::vector<PlannedReplica*> donors;
   for (const auto& [inUse, replica] : candidates) {
     const bool serves = replica->mPhase == ReplicaPhase::kOpen;
-    const bool kept = serves && serving <= mOptions.mComposition.mLeastReplicas;
+    const bool kept = serves && serving <= mOptions.mComposition.mMinReplicas;
     if (!kept && QuickMembers(donors, aTo.mName) < aTo.mSize) {
       donors.push_back(replica);
       serving -= serves ? 1 : 0;
@@ -176,48 +178,48 @@
 }
 
 bool
-GroupPlanner::TakeBack(const std::string& aModel)
+GroupPlanner::KeepServing(const std::string& aModel)
 {
-  for (auto trade = mTrades.begin(); trade != mTrades.end(); ++trade) {
-    if (trade->second.mFrom != aModel) {
+  for (auto rebalance = mRebalances.begin(); rebalance != mRebalances.end(); ++rebalance) {
+    if (rebalance->second.mFrom != aModel) {
       continue;
     }
     bool any = false;
     for (auto& [name, replica] : mReplicas) {
       const bool serves = replica.mPhase == ReplicaPhase::kOpen && !replica.mMemberLost;
-      if (replica.mDomain == trade->first && replica.mGivenUp && serves) {
+      if (replica.mDomain == rebalance->first && replica.mGivenUp && serves) {
         replica.mGivenUp = false;
         any = true;
       }
     }
     if (any) {
-      mTrades.erase(trade);
+      mRebalances.erase(rebalance);
       return true;
     }
   }
   return false;
 }
 
-GroupPlanner::TradeOffer
+GroupPlanner::RebalanceOffer
 GroupPlanner::BestOffer(const ModelSpec& aFrom, const ModelSpec& aTo)
 {
   std::set<std::string> domains;
   for (const auto& [name, replica] : mReplicas) {
-    if (mTrades.count(replica.mDomain) == 0) {
+    if (mRebalances.count(replica.mDomain) == 0) {
       domains.insert(replica.mDomain);
     }
   }
-  TradeOffer best;
+  RebalanceOffer best;
   for (const auto& domain : domains) {
-    TradeOffer offer;
+    RebalanceOffer offer;
     offer.mDomain = domain;
-    offer.mDonors = TradeDonors(domain, aFrom, aTo);
-    offer.mGets = QuickMembers(offer.mDonors, aTo.mName) / aTo.mSize;
+    offer.mDonors = RebalanceDonors(domain, aFrom, aTo);
+    offer.mGained = QuickMembers(offer.mDonors, aTo.mName) / aTo.mSize;
     for (const auto* it : offer.mDonors) {
       offer.mInUse += mView->mInFlight(it->mMembers.front());
     }
-    const bool cheaper = offer.mGets == best.mGets && offer.mInUse < best.mInUse;
-    if (offer.mGets > best.mGets || cheaper) {
+    const bool cheaper = offer.mGained == best.mGained && offer.mInUse < best.mInUse;
+    if (offer.mGained > best.mGained || cheaper) {
       best = std::move(offer);
     }
   }
@@ -225,24 +227,26 @@
 }
 
 bool
-GroupPlanner::BeginTrade(const CompositionNeed& aNeed)
+GroupPlanner::BeginRebalance(const CompositionNeed& aNeed)
 {
-  if (TakeBack(aNeed.mTo)) {
+  if (KeepServing(aNeed.mTo)) {
     return true;
   }
   const ModelSpec& from = *mView->mPool->FindModel(aNeed.mFrom);
   const ModelSpec& to = *mView->mPool->FindModel(aNeed.mTo);
-  const double most = mOptions.mComposition.mMostMoving * static_cast<double>(mSeenEngines);
+  const double most = mOptions.mComposition.mMaxMovingShare * static_cast<double>(mSeenEngines);
   const double moves = static_cast<double>(MovingEngines() + std::max(from.mSize, to.mSize));
-  if (!mTrades.empty() && moves > most) {
+  if (!mRebalances.empty() && moves > most) {
     return false;
   }
-  const TradeOffer offer = BestOffer(from, to);
+  const RebalanceOffer offer = BestOffer(from, to);
   if (offer.mDonors.empty()) {
     return false;
   }
-  NoteChange(from.mName, to.mName, offer);
-  mTrades[offer.mDomain] = { from.mName, to.mName, offer.mGets, mView->mNow + mOptions.mTradeMost };
+  RecordChange(from.mName, to.mName, offer);
+  mRebalances[offer.mDomain] = {
+    from.mName, to.mName, offer.mGained, mView->mNow + mOptions.mMaxRebalanceTime
+  };
   for (auto* it : offer.mDonors) {
     it->mGivenUp = true;
   }
@@ -250,16 +254,18 @@
 }
 
 void
-GroupPlanner::NoteChange(const std::string& aFrom, const std::string& aTo, const TradeOffer& aOffer)
+GroupPlanner::RecordChange(const std::string& aFrom,
+                           const std::string& aTo,
+                           const RebalanceOffer& aOffer)
 {
   CompositionChange change;
   change.mFrom = aFrom;
   change.mTo = aTo;
   change.mDomain = aOffer.mDomain;
   change.mGiven = aOffer.mDonors.size();
-  change.mComing = aOffer.mGets;
+  change.mComing = aOffer.mGained;
   for (const auto& it : mUses) {
-    const double part = PartInUse(it, mView->mPool->mSlots);
+    const double part = SlotUtilisation(it, mView->mPool->mSlots);
     change.mInUseFrom = it.mModel == aFrom ? part : change.mInUseFrom;
     change.mInUseTo = it.mModel == aTo ? part : change.mInUseTo;
   }
@@ -267,14 +273,14 @@
 }
 
 const ModelSpec*
-GroupPlanner::MostShort(const std::string& aDomain,
-                        std::size_t aFree,
-                        std::size_t aEngines,
-                        const std::map<std::string, std::size_t>& aHave) const
+GroupPlanner::MostUnderprovisioned(const std::string& aDomain,
+                                   std::size_t aFree,
+                                   std::size_t aEngines,
+                                   const std::map<std::string, std::size_t>& aHave) const
 {
-  const auto trade = mTrades.find(aDomain);
-  if (trade != mTrades.end()) {
-    const ModelSpec* model = mView->mPool->FindModel(trade->second.mTo);
+  const auto rebalance = mRebalances.find(aDomain);
+  if (rebalance != mRebalances.end()) {
+    const ModelSpec* model = mView->mPool->FindModel(rebalance->second.mTo);
     return model != nullptr && aFree >= model->mSize ? model : nullptr;
   }
   const ModelSpec* best = nullptr;
@@ -282,7 +288,7 @@
   for (const auto& it : mView->mPool->mModels) {
     const auto have = aHave.find(it.mName);
     const std::size_t n = have == aHave.end() ? 0 : have->second;
-    const bool least = mView->mTraffic && n < mOptions.mComposition.mLeastReplicas;
+    const bool least = mView->mTraffic && n < mOptions.mComposition.mMinReplicas;
     const double due = it.mShare * static_cast<double>(aEngines) / static_cast<double>(it.mSize);
     const double ratio = least ? 0.0 : static_cast<double>(n) / std::max(due, 1e-9);
     if (aFree >= it.mSize && (best == nullptr || ratio < bestRatio)) {
@@ -294,11 +300,12 @@
 }
 
 void
-GroupPlanner::NoteFormed(const std::string& aDomain, const std::string& aModel)
+GroupPlanner::CountFormed(const std::string& aDomain, const std::string& aModel)
 {
-  const auto trade = mTrades.find(aDomain);
-  if (trade != mTrades.end() && trade->second.mTo == aModel && --trade->second.mComing == 0) {
-    mTrades.erase(trade);
+  const auto rebalance = mRebalances.find(aDomain);
+  if (rebalance != mRebalances.end() && rebalance->second.mTo == aModel &&
+      --rebalance->second.mComing == 0) {
+    mRebalances.erase(rebalance);
   }
 }
 
--- a/src/pepperbay/placement/group_planner_repair.cpp
+++ b/src/pepperbay/placement/group_planner_repair.cpp
@@ -207,7 +207,7 @@
     const auto reserve =
       static_cast<std::size_t>(std::ceil(static_cast<double>(domain.mAll) * mOptions.mSpareShare));
     while (domain.mFree > reserve) {
-      const ModelSpec* best = MostShort(name, domain.mFree - reserve, all, have);
+      const ModelSpec* best = MostUnderprovisioned(name, domain.mFree - reserve, all, have);
       // No other model is formed instead: the model below its share would never get its engines.
       if (best == nullptr || !EnoughForNew(name, *best)) {
         break;
@@ -225,7 +225,7 @@
       Begin(replica, std::move(members));
       domain.mFree -= best->mSize;
       ++have[best->mName];
-      NoteFormed(name, best->mName);
+      CountFormed(name, best->mName);
       mReplicas[replica.mName] = std::move(replica);
     }
   }
--- a/src/pepperbay/placement/group_planner_spares.cpp
+++ b/src/pepperbay/placement/group_planner_spares.cpp
@@ -99,7 +99,8 @@
     return true;
   }
   return std::any_of(mUses.begin(), mUses.end(), [this](const ModelUse& aUse) {
-    return aUse.mReplicas > 0 && PartInUse(aUse, mView->mPool->mSlots) > mOptions.mLoadsAheadUse;
+    return aUse.mReplicas > 0 &&
+           SlotUtilisation(aUse, mView->mPool->mSlots) > mOptions.mLoadsAheadUse;
   });
 }
 
--- a/src/pepperbay/placement/group_planner_survivors.cpp
+++ b/src/pepperbay/placement/group_planner_survivors.cpp
@@ -118,7 +118,7 @@
 }
 
 double
-GroupPlanner::PlacesInUse(const std::string& aModel, std::size_t aWithout) const
+GroupPlanner::ModelSlotUtilisation(const std::string& aModel, std::size_t aWithout) const
 {
   std::size_t open = 0;
   int inUse = 0;
@@ -189,11 +189,11 @@
   std::size_t engines = 0;
   for (const auto& it : candidates) {
     const std::string& model = it.mReplica->mModel;
-    const double after = PlacesInUse(model, given[model] + 1);
+    const double after = ModelSlotUtilisation(model, given[model] + 1);
     // A model without enough remaining slots would refuse as many requests as the other model
     // gains.
-    const bool hasRoom =
-      after <= mOptions.mRoomToGive || (after <= 1.0 && after < PlacesInUse(aTarget.mModel, 0));
+    const bool hasRoom = after <= mOptions.mRoomToGive ||
+                         (after <= 1.0 && after < ModelSlotUtilisation(aTarget.mModel, 0));
     if (gives >= lacks || it.mReady == 0 || !hasRoom) {
       continue;
     }
