--- a/include/pepperbay/placement/group_planner.hpp
+++ b/include/pepperbay/placement/group_planner.hpp
@@ -45,27 +45,27 @@
   SparePolicy mSpares = SparePolicy::kStandbyForAll;
   /// An open order that arrived before the head was ready is repeated after this time; the replica
   /// does not serve meanwhile.
-  Duration mRepeatOpen = std::chrono::milliseconds(25);
+  Duration mOpenRetryInterval = std::chrono::milliseconds(25);
   /// Any other order that the engine's state does not allow yet is repeated after this time.
-  Duration mRepeat = std::chrono::milliseconds(250);
+  Duration mRetryInterval = std::chrono::milliseconds(250);
   /// A join in progress is repeated after this time, in case the notice of its completion was lost;
   /// the engine answers kHolds once it is ready.
-  Duration mAskJoined = std::chrono::milliseconds(240);
-  /// As mAskJoined, for a join that has to load weights. Its completion shows at once in the
+  Duration mJoinPollInterval = std::chrono::milliseconds(240);
+  /// As mJoinPollInterval, for a join that has to load weights. Its completion shows at once in the
   /// registration. Repeats every 240 ms made up a third of all orders.
-  Duration mAskLoaded = std::chrono::milliseconds(1500);
+  Duration mLoadPollInterval = std::chrono::milliseconds(1500);
   /// Number of consecutive orders without an answer after which an engine counts as lost.
-  int mMostUnanswered = 3;
+  int mMaxUnanswered = 3;
   /// Requests in progress at a replica that loses a member may complete for this long before it is
   /// re-formed: the longest time that callers wait for a stream. Leaving engines keep working for
   /// longer.
-  Duration mDrainMost = std::chrono::seconds(8);
+  Duration mMaxDrainTime = std::chrono::seconds(8);
   /// Interval between checks whether an unlisted head still has requests: half of the interval in
   /// which nodes report their requests in progress.
-  Duration mLookAtHeadAgain = std::chrono::milliseconds(100);
+  Duration mHeadCheckInterval = std::chrono::milliseconds(100);
   /// The first replicas are formed once no engine has registered for this long: the engines of one
   /// domain register within a short time of each other.
-  Duration mSettle = std::chrono::milliseconds(600);
+  Duration mSettleTime = std::chrono::milliseconds(600);
   /// A broken replica that finds no spare for this long is dissolved. A new engine in its domain
   /// would have loaded the weights by then.
   Duration mGiveUpAfter = std::chrono::seconds(20);
@@ -89,16 +89,16 @@
   /// time count as free again.
   Duration mMaxRebalanceTime = std::chrono::seconds(14);
   /// A broken replica counts as about to serve for this long: most repairs take a second.
-  Duration mCountsBroken = std::chrono::seconds(3);
+  Duration mBrokenCountsFor = std::chrono::seconds(3);
   /// Maximum number of concurrent weight loads onto hosts of members while requests arrive: a
-  /// fraction of what the weight store serves at once, and at least mLeastLoadsAhead. More of them
+  /// fraction of what the weight store serves at once, and at least mMinPrestageLoads. More of them
   /// would slow down the loads that repairs wait for.
-  double mLoadsAheadShare = 0.25;
-  int mLeastLoadsAhead = 2;
+  double mPrestageShare = 0.25;
+  int mMinPrestageLoads = 2;
   /// Such loads start in fabric domains that have lost an engine, and in all domains while a model
   /// has more than this fraction of its slots in use. In other domains of a large pool, the next
   /// loss is unlikely to happen soon.
-  double mLoadsAheadUse = 0.6;
+  double mPrestageUtilisation = 0.6;
   /// A join without an answer may still be carried out for this long.
   Duration mLateOrder = std::chrono::seconds(13);
   /// A member without a registration is kept while it answers at least once in this time. It may be
@@ -110,7 +110,7 @@
   Duration mForgetAfter = std::chrono::seconds(30);
   /// A healthy engine may pause for this long and continue. Nothing that would end its streams is
   /// done before.
-  Duration mPauseMost = std::chrono::milliseconds(1500);
+  Duration mMaxPause = std::chrono::milliseconds(1500);
   /// Pause after an order was refused as stale. Another holder may be active; this time is enough
   /// to learn of it from that holder or from the log.
   Duration mStalePause = std::chrono::milliseconds(200);
@@ -125,7 +125,7 @@
   TimePoint mNow{};
   std::uint64_t mFence = 0;
   /// Maximum number of orders in this round; the remaining ones are sent in later rounds.
-  int mMostOrders = std::numeric_limits<int>::max();
+  int mMaxOrders = std::numeric_limits<int>::max();
   bool mTraffic =
     false; ///< requests have arrived: weight loads count against the store's rate limit
   /// Returns whether the engine does not answer, whatever its registration says.
@@ -219,7 +219,7 @@
   /// @return the replicas of each model and the use of their slots, as of the last round.
   const std::vector<ModelUse>& Uses() const { return mUses; }
   /// @return how many engine records the last round examined to find free engines.
-  std::size_t LookedAt() const { return mLookedAt; }
+  std::size_t EnginesExamined() const { return mEnginesExamined; }
 
 private:
   struct Spare
@@ -380,10 +380,10 @@
     kAfterLoads, ///< any engine
   };
   /// @return the smallest other replica with enough engines to give; null if none
-  const PlannedReplica* LeastDonor(const PlannedReplica& aTarget,
-                                   const std::vector<PlannedReplica*>& aWaiting,
-                                   std::size_t aMissing,
-                                   Ready aReady) const;
+  const PlannedReplica* SmallestDonor(const PlannedReplica& aTarget,
+                                      const std::vector<PlannedReplica*>& aWaiting,
+                                      std::size_t aMissing,
+                                      Ready aReady) const;
   void Drop(const std::string& aName);
   /// Healthy members that are still in the replica.
   std::vector<std::string> Survivors(const PlannedReplica& aReplica) const;
@@ -399,9 +399,9 @@
   /// @return whether enough free engines of a domain are ready for a new replica of a model.
   bool EnoughForNew(const std::string& aDomain, const ModelSpec& aModel) const;
   /// Loads weights of another model onto the hosts of members, so that survivors can change models.
-  void StageAhead();
+  void PrestageWeights();
   /// @return whether weights are loaded ahead onto hosts of a domain.
-  bool LoadsAheadIn(const std::string& aDomain) const;
+  bool PrestagesIn(const std::string& aDomain) const;
   bool Repair(PlannedReplica& aReplica);
   bool AnyUsable(const PlannedReplica& aReplica) const;
   void FormNew();
@@ -495,7 +495,7 @@
   const GroupView* mView = nullptr; ///< input of the current round
   std::map<std::string, std::vector<const EngineRecord*>>
     mByDomain; ///< engines of the current round
-  mutable std::size_t mLookedAt = 0;
+  mutable std::size_t mEnginesExamined = 0;
   std::vector<GroupOrder> mOrders;
 };
 
--- a/scripts/mutants/late.sh
+++ b/scripts/mutants/late.sh
@@ -15,7 +15,7 @@
   's/if \(mCore->Now\(\) >= aPlan.mMissesValidUntil\)/if (false)/' \
   relay_relay_test '*AMissInAConfiguration*'
 mutant "any number of orders at once" $c/coordinator_pools.cpp \
-  's/view.mMostOrders = .*//' coordinator_coordinator_many_engines_test '*APoolForms*'
+  's/view.mMaxOrders = .*//' coordinator_coordinator_many_engines_test '*APoolForms*'
 mutant "the window of calls does not shrink" $c/engine_calls.cpp \
   's/mWindow = std::max\(mWindow \/ 2, mOptions.mLeast\);//' coordinator_engine_calls_test '*Fewer*'
 mutant "a late end is the engine's silence" $c/engine_calls.cpp \
--- a/src/pepperbay/coordinator/coordinator.cpp
+++ b/src/pepperbay/coordinator/coordinator.cpp
@@ -49,7 +49,7 @@
   EngineDoubtsOptions options;
   options.mAskTimeout = aOptions.mAskTimeout;
   options.mAskAgain = aOptions.mAskAgain;
-  options.mPauseMost = aOptions.mPlanner.mPauseMost;
+  options.mPauseMost = aOptions.mPlanner.mMaxPause;
   options.mAskState = aOptions.mAskState;
   return options;
 }
--- a/src/pepperbay/coordinator/coordinator_pools.cpp
+++ b/src/pepperbay/coordinator/coordinator_pools.cpp
@@ -59,7 +59,7 @@
   view.mPool = &*aService.mPool;
   view.mNow = Now();
   view.mFence = mLease.Fence();
-  view.mMostOrders = mCalls.RoomForOrders();
+  view.mMaxOrders = mCalls.RoomForOrders();
   view.mTraffic = mTraffic;
   view.mDead = [this](const std::string& aEngine) { return mDoubts.IsLost(aEngine); };
   view.mEnded = [this](const std::string& aEngine) { return mDoubts.HasEnded(aEngine); };
--- a/src/pepperbay/coordinator/coordinator_reach_test.cpp
+++ b/src/pepperbay/coordinator/coordinator_reach_test.cpp
@@ -315,7 +315,7 @@
 {
   Silence(mMembers.back());
   const Duration took = UntilJoin(seconds(5));
-  EXPECT_GT(took, GroupPlannerOptions().mPauseMost);
+  EXPECT_GT(took, GroupPlannerOptions().mMaxPause);
   EXPECT_EQ(mWorld.Holder().mCoordinator->Counters().mEndedEngines.at("silent"), 1U);
   EXPECT_LE(took, milliseconds(2500));
 }
--- a/src/pepperbay/coordinator/engine_doubts.hpp
+++ b/src/pepperbay/coordinator/engine_doubts.hpp
@@ -29,7 +29,7 @@
   /// The same for those that are only silent: they may go on at any moment.
   Duration mAskSilent = std::chrono::milliseconds(200);
   /// An engine that is well may be silent for so long.
-  Duration mPauseMost = GroupPlannerOptions().mPauseMost;
+  Duration mPauseMost = GroupPlannerOptions().mMaxPause;
   /// What an engine says of itself is some 200 ms old; asking more often tells little more.
   Duration mAskState = std::chrono::milliseconds(250);
   /// An engine on which too few places have a word is asked so many times in a row.
--- a/src/pepperbay/placement/group_planner.cpp
+++ b/src/pepperbay/placement/group_planner.cpp
@@ -67,7 +67,7 @@
 {
   mView = &aView;
   mOrders.clear();
-  mLookedAt = 0;
+  mEnginesExamined = 0;
   for (const auto& [id, engine] : *aView.mEngines) {
     mByDomain[engine.mDomain].push_back(&engine);
   }
@@ -310,7 +310,7 @@
   if (!silent && !all) {
     // The member's registration may have lapsed in a pause.
     const bool waited =
-      aReplica.mLeavingSince && mView->mNow - *aReplica.mLeavingSince >= mOptions.mPauseMost;
+      aReplica.mLeavingSince && mView->mNow - *aReplica.mLeavingSince >= mOptions.mMaxPause;
     return LostMember{ "that is not listed", waited };
   }
   return silent;
@@ -331,7 +331,7 @@
   if (engine == nullptr) {
     // Neither a registration nor an answer: both the platform and this node have lost contact with
     // it.
-    return mView->mNow - answered->second >= mOptions.mUnlistedAnswers + mOptions.mPauseMost;
+    return mView->mNow - answered->second >= mOptions.mUnlistedAnswers + mOptions.mMaxPause;
   }
   return mGone.count(aMember) != 0 || engine->mService != mView->mService ||
          !OfNewestStart(aMember, engine->mBorn);
@@ -402,7 +402,7 @@
   // exited shows by streams that make no progress.
   const std::string& head = aReplica.mMembers.front();
   const bool standsStill = aReplica.mMemberLost && mView->mStandsStill(head);
-  const bool waited = mView->mNow - *aReplica.mLeavingSince >= mOptions.mDrainMost;
+  const bool waited = mView->mNow - *aReplica.mLeavingSince >= mOptions.mMaxDrainTime;
   return mView->mInFlight(head) > 0 && !standsStill && !waited;
 }
 
@@ -410,7 +410,7 @@
 GroupPlanner::UnknownHeadWorks(const PlannedReplica& aReplica) const
 {
   const bool asks = aReplica.mHeadUnknown && mView->mInFlightAtFormerHead;
-  return asks && mView->mNow - aReplica.mSince < mOptions.mDrainMost &&
+  return asks && mView->mNow - aReplica.mSince < mOptions.mMaxDrainTime &&
          mView->mInFlightAtFormerHead(aReplica.mName, aReplica.mEpoch) > 0;
 }
 
--- a/src/pepperbay/placement/group_planner_composition.cpp
+++ b/src/pepperbay/placement/group_planner_composition.cpp
@@ -20,7 +20,7 @@
     return false;
   }
   return aReplica.mPhase != ReplicaPhase::kBroken ||
-         mView->mNow - aReplica.mSince < mOptions.mCountsBroken;
+         mView->mNow - aReplica.mSince < mOptions.mBrokenCountsFor;
 }
 
 std::vector<ModelUse>
--- a/src/pepperbay/placement/group_planner_leaving_test.cpp
+++ b/src/pepperbay/placement/group_planner_leaving_test.cpp
@@ -243,7 +243,7 @@
   stage.mKind = GroupOrderKind::kStage;
   stage.mEngine = member;
   stage.mBorn = world.mPool.At(member).mRecord.mBorn;
-  for (int i = 0; i < GroupPlannerOptions().mMostUnanswered; ++i) {
+  for (int i = 0; i < GroupPlannerOptions().mMaxUnanswered; ++i) {
     planner.OnAnswer(stage, OrderAnswer::kNone, world.Now());
   }
   ASSERT_EQ(planner.Unanswering().count(member), 1U);
--- a/src/pepperbay/placement/group_planner_orders.cpp
+++ b/src/pepperbay/placement/group_planner_orders.cpp
@@ -75,7 +75,7 @@
 bool
 GroupPlanner::IsDue(const std::string& aEngine, GroupOrderKind aKind) const
 {
-  if (static_cast<int>(mOrders.size()) >= mView->mMostOrders) {
+  if (static_cast<int>(mOrders.size()) >= mView->mMaxOrders) {
     return false;
   }
   const auto it = mPending.find(aEngine + " " + ToString(aKind));
@@ -189,7 +189,7 @@
     if (aOrder.mKind == GroupOrderKind::kJoin && !IsSpareGroup(aOrder.mGroup)) {
       mLostJoins[aOrder.mEngine] = { aOrder.mGroup, aOrder.mEpoch, aNow + mOptions.mLateOrder };
     }
-    if (aAnswer == OrderAnswer::kNone && ++pending.mUnanswered >= mOptions.mMostUnanswered) {
+    if (aAnswer == OrderAnswer::kNone && ++pending.mUnanswered >= mOptions.mMaxUnanswered) {
       mUnanswering.insert(aOrder.mEngine);
       pending.mUnanswered = 0;
     }
@@ -244,15 +244,16 @@
 GroupPlanner::RepeatAfter(const GroupOrder& aOrder, OrderAnswer aAnswer, bool aLoads) const
 {
   if (aOrder.mKind == GroupOrderKind::kOpen) {
-    return mOptions.mRepeatOpen;
+    return mOptions.mOpenRetryInterval;
   }
   if (aOrder.mKind == GroupOrderKind::kStage) {
-    return mOptions.mAskLoaded; // refused while another load is in progress, which takes seconds
+    return mOptions
+      .mLoadPollInterval; // refused while another load is in progress, which takes seconds
   }
   if (aOrder.mKind == GroupOrderKind::kJoin && aAnswer == OrderAnswer::kBegun) {
-    return aLoads ? mOptions.mAskLoaded : mOptions.mAskJoined;
+    return aLoads ? mOptions.mLoadPollInterval : mOptions.mJoinPollInterval;
   }
-  return mOptions.mRepeat;
+  return mOptions.mRetryInterval;
 }
 
 void
--- a/src/pepperbay/placement/group_planner_repair.cpp
+++ b/src/pepperbay/placement/group_planner_repair.cpp
@@ -18,7 +18,7 @@
       continue;
     }
     if (replica.mPhase == ReplicaPhase::kBroken && UnknownHeadWorks(replica)) {
-      replica.mNotBefore = mView->mNow + mOptions.mLookAtHeadAgain;
+      replica.mNotBefore = mView->mNow + mOptions.mHeadCheckInterval;
     }
     if (replica.mPhase != ReplicaPhase::kBroken || mView->mNow < replica.mNotBefore) {
       continue;
@@ -167,7 +167,7 @@
 void
 GroupPlanner::FormNew()
 {
-  if (mView->mNow - mLastNew < mOptions.mSettle) {
+  if (mView->mNow - mLastNew < mOptions.mSettleTime) {
     return;
   }
   struct Domain
@@ -241,7 +241,7 @@
   if (domain == mByDomain.end()) {
     return {};
   }
-  mLookedAt += domain->second.size();
+  mEnginesExamined += domain->second.size();
   for (const auto* engine : domain->second) {
     const std::string& id = engine->mId;
     const bool free = IsFree(*engine) || (!InReplica(id) && !IsElsewhere(*engine, aGroup));
--- a/src/pepperbay/placement/group_planner_spares.cpp
+++ b/src/pepperbay/placement/group_planner_spares.cpp
@@ -33,7 +33,7 @@
       idle.push_back(&engine);
     }
   }
-  const bool settled = mView->mNow - mLastNew >= mOptions.mSettle || mView->mTraffic;
+  const bool settled = mView->mNow - mLastNew >= mOptions.mSettleTime || mView->mTraffic;
   if (!settled || mOptions.mSpares == SparePolicy::kIdle) {
     return;
   }
@@ -89,33 +89,33 @@
     }
     ++it;
   }
-  StageAhead();
+  PrestageWeights();
 }
 
 bool
-GroupPlanner::LoadsAheadIn(const std::string& aDomain) const
+GroupPlanner::PrestagesIn(const std::string& aDomain) const
 {
   if (!mView->mTraffic || mDomainsWithLosses.count(aDomain) != 0) {
     return true;
   }
   return std::any_of(mUses.begin(), mUses.end(), [this](const ModelUse& aUse) {
     return aUse.mReplicas > 0 &&
-           SlotUtilisation(aUse, mView->mPool->mSlots) > mOptions.mLoadsAheadUse;
+           SlotUtilisation(aUse, mView->mPool->mSlots) > mOptions.mPrestageUtilisation;
   });
 }
 
 void
-GroupPlanner::StageAhead()
+GroupPlanner::PrestageWeights()
 {
   if (!mOptions.mJoinSurvivors || mOptions.mSpares != SparePolicy::kStandbyForAll) {
     return;
   }
   const int atOnce = mView->mPool->mLoadsAtOnce;
   const int ahead =
-    std::max(mOptions.mLeastLoadsAhead, static_cast<int>(atOnce * mOptions.mLoadsAheadShare));
+    std::max(mOptions.mMinPrestageLoads, static_cast<int>(atOnce * mOptions.mPrestageShare));
   const int most = mView->mTraffic ? ahead : atOnce;
   for (const auto& [name, replica] : mReplicas) {
-    if (replica.mPhase != ReplicaPhase::kOpen || !LoadsAheadIn(replica.mDomain)) {
+    if (replica.mPhase != ReplicaPhase::kOpen || !PrestagesIn(replica.mDomain)) {
       continue;
     }
     for (const auto& it : replica.mMembers) {
--- a/src/pepperbay/placement/group_planner_survivors.cpp
+++ b/src/pepperbay/placement/group_planner_survivors.cpp
@@ -76,11 +76,12 @@
       return IsQuick(*aEngine, target->mModel);
     });
     const auto missing = [size](std::size_t aHave) { return size - std::min(size, aHave); };
-    const PlannedReplica* donor = LeastDonor(
+    const PlannedReplica* donor = SmallestDonor(
       *target, aWaiting, missing(survivors + static_cast<std::size_t>(quick)), Ready::kAtOnce);
     const bool patient = mView->mNow - target->mSince < mOptions.mWaitForLoads;
     if (donor == nullptr && !patient) {
-      donor = LeastDonor(*target, aWaiting, missing(survivors + free.size()), Ready::kAfterLoads);
+      donor =
+        SmallestDonor(*target, aWaiting, missing(survivors + free.size()), Ready::kAfterLoads);
     }
     if (donor != nullptr) {
       return donor->mName;
@@ -90,10 +91,10 @@
 }
 
 const PlannedReplica*
-GroupPlanner::LeastDonor(const PlannedReplica& aTarget,
-                         const std::vector<PlannedReplica*>& aWaiting,
-                         std::size_t aMissing,
-                         Ready aReady) const
+GroupPlanner::SmallestDonor(const PlannedReplica& aTarget,
+                            const std::vector<PlannedReplica*>& aWaiting,
+                            std::size_t aMissing,
+                            Ready aReady) const
 {
   if (aMissing == 0) {
     return nullptr; // its engines are available or being released
--- a/src/pepperbay/placement/group_planner_test.cpp
+++ b/src/pepperbay/placement/group_planner_test.cpp
@@ -14,16 +14,16 @@
 {
   constexpr std::size_t kDomains = 300;
   constexpr std::size_t kPerDomain = 10;
-  constexpr std::size_t kMostLooks = 10; // per engine
+  constexpr std::size_t kMaxExaminations = 10; // per engine
   World world(kDomains, kPerDomain);
   GroupPlanner planner;
   std::size_t most = 0;
   for (int round = 0; round < 100 && planner.Replicas().size() < kDomains; ++round) {
     world.Run(planner, milliseconds(20));
-    most = std::max(most, planner.LookedAt());
+    most = std::max(most, planner.EnginesExamined());
   }
   EXPECT_GE(planner.Replicas().size(), kDomains);
-  EXPECT_LE(most, kMostLooks * kDomains * kPerDomain);
+  EXPECT_LE(most, kMaxExaminations * kDomains * kPerDomain);
 }
 
 TEST(GroupPlanner, FormsEachModelInEachDomainAndKeepsSpares)
@@ -224,12 +224,12 @@
 TEST(GroupPlanner, FormsThePoolWithFewOrdersInEachRound)
 {
   World world(6);
-  world.mMostOrders = 2;
+  world.mMaxOrders = 2;
   GroupPlanner planner;
   world.Run(planner, seconds(20));
   EXPECT_EQ(world.mPool.Serving("big"), 6U);
   EXPECT_EQ(world.mPool.Serving("small"), 6U);
-  EXPECT_EQ(world.mMostGiven, 2);
+  EXPECT_EQ(world.mMaxGiven, 2);
   EXPECT_TRUE(world.mPool.Violations().empty());
 }
 
@@ -317,7 +317,7 @@
 struct Troubles
 {
   static constexpr std::size_t kPerDomain = 11;
-  static constexpr std::size_t kMostHolders = 4;
+  static constexpr std::size_t kMaxHolders = 4;
 
   Troubles() { mHolders.push_back(std::make_unique<GroupPlanner>()); }
 
@@ -361,7 +361,7 @@
         mWorld.mPool.Add("n" + std::to_string(mAdded++), "d" + std::to_string(d));
         break;
       case Trouble::kHolder:
-        if (mHolders.size() < kMostHolders) {
+        if (mHolders.size() < kMaxHolders) {
           mHolders.push_back(std::make_unique<GroupPlanner>());
         }
         break;
--- a/src/pepperbay/placement/group_planner_world.hpp
+++ b/src/pepperbay/placement/group_planner_world.hpp
@@ -79,7 +79,7 @@
     view.mNow = Now();
     view.mFence = aFence;
     view.mTraffic = mTraffic;
-    view.mMostOrders = mMostOrders;
+    view.mMaxOrders = mMaxOrders;
     view.mDead = [this](const std::string& aEngine) {
       return mFound.count(aEngine) != 0 || mSilent.count(aEngine) != 0;
     };
@@ -106,7 +106,7 @@
       }
     }
     const auto orders = aPlanner.Plan(view);
-    mMostGiven = std::max(mMostGiven, static_cast<int>(orders.size()));
+    mMaxGiven = std::max(mMaxGiven, static_cast<int>(orders.size()));
     const auto wanted = aPlanner.Wanted();
     for (const auto& [it, engine] : wanted) {
       if (mPool.At(it).mAlive && mFound.count(it) == 0 && mSilent.count(it) == 0) {
@@ -315,9 +315,9 @@
   std::deque<SlowOrder> mSlow;
   std::map<std::string, EngineRecord> mCutOff; ///< last registration, by engine
   std::map<GroupOrderKind, int> mGiven;
-  int mMostOrders = std::numeric_limits<int>::max(); ///< per round
-  int mMostGiven = 0;                                ///< most orders in one round
-  std::map<std::string, int> mJoins;                 ///< join orders, by engine
+  int mMaxOrders = std::numeric_limits<int>::max(); ///< per round
+  int mMaxGiven = 0;                                ///< most orders in one round
+  std::map<std::string, int> mJoins;                ///< join orders, by engine
   int mRefusedJoins = 0;
   int mInFlight = 0; ///< requests in progress at each head
   /// Requests at a head that takes no new ones complete after this; nullopt: never.
