--- a/bench/pools/pool_world.cpp
+++ b/bench/pools/pool_world.cpp
@@ -75,7 +75,7 @@
   for (const auto& it : mPlanner.TakeChanges()) {
     mTrades += it.mGiven;
   }
-  const auto wanted = mPlanner.Wanted();
+  const auto wanted = mPlanner.EnginesToQuery();
   for (const auto& [id, engine] : wanted) {
     if (mPool.At(id).mAlive) {
       mPlanner.OnReport(id, mPool.Report(id), Now());
--- a/include/pepperbay/placement/engine_state.hpp
+++ b/include/pepperbay/placement/engine_state.hpp
@@ -37,7 +37,7 @@
 {
 public:
   /// Maximum age of the state in an engine's report.
-  static constexpr std::chrono::milliseconds kReportAge{ 500 };
+  static constexpr std::chrono::milliseconds kMaxReportAge{ 500 };
 
   /// @return the state of an engine that has just started: in no group, no orders accepted.
   static EngineState JustStarted();
@@ -45,18 +45,18 @@
   /// Updates the state from an answer.
   /// @return what the answer proves. Only this result shows that an engine has left its position.
   OrderProof OnAnswer(const GroupOrder& aOrder, OrderAnswer aAnswer, TimePoint aNow);
-  void OnReport(const GroupPlace& aPlace, std::uint64_t aAccepted, TimePoint aNow);
+  void OnReport(const GroupPlace& aPosition, std::uint64_t aAccepted, TimePoint aNow);
   /// A registration may be long out of date; it is used only when it changes to a newer position.
-  void OnRegistration(const GroupPlace& aPlace);
+  void OnRegistration(const GroupPlace& aPosition);
 
-  const GroupPlace& Place() const { return mPlace; }
+  const GroupPlace& Position() const { return mPosition; }
   bool IsIn(const std::string& aGroup, std::uint64_t aEpoch) const;
   /// @return the number of accepted orders that belongs to the position; nullopt if the engine has
   /// to be queried for it.
   std::optional<std::uint64_t> Accepted() const;
   /// @return whether the number is unknown and a report requested now would be recent enough to
   /// give it.
-  bool ShouldAsk(TimePoint aNow) const;
+  bool ShouldQuery(TimePoint aNow) const;
 
 private:
   OrderProof ProofOf(const GroupOrder& aOrder, OrderAnswer aAnswer) const;
@@ -67,18 +67,18 @@
   bool MovesEngine(const GroupOrder& aOrder) const;
   void Apply(const GroupOrder& aOrder);
   void OnRefused(const GroupOrder& aOrder, TimePoint aNow);
-  /// Marks the number as unknown until a report states at least aLeast accepted orders.
-  void Doubt(std::uint64_t aLeast, TimePoint aNow);
+  /// Marks the number as unknown until a report states at least aMinAccepted accepted orders.
+  void InvalidateAccepted(std::uint64_t aMinAccepted, TimePoint aNow);
 
-  GroupPlace mPlace;
+  GroupPlace mPosition;
   GroupPlace mRegistered;
   std::uint64_t mLeft = 0; ///< memberships of this epoch and older ones have ended
   std::uint64_t mAccepted = 0;
-  bool mExact = false; ///< mAccepted belongs to mPlace
-  /// Until mLeastUntil, a report that states fewer accepted orders than this is outdated.
-  std::uint64_t mLeast = 0;
-  TimePoint mLeastUntil{};
-  TimePoint mAskFrom{};
+  bool mExact = false; ///< mAccepted belongs to mPosition
+  /// Until mMinAcceptedUntil, a report that states fewer accepted orders than this is outdated.
+  std::uint64_t mMinAccepted = 0;
+  TimePoint mMinAcceptedUntil{};
+  TimePoint mQueryFrom{};
 };
 
 } // namespace pepperbay
--- a/include/pepperbay/placement/group_planner.hpp
+++ b/include/pepperbay/placement/group_planner.hpp
@@ -206,7 +206,7 @@
   /// Handles an engine's report of its own state.
   void OnReport(const std::string& aEngine, const EngineReport& aReport, TimePoint aNow);
   /// Engines to query for their state; pass each report to OnReport().
-  const std::map<std::string, EngineRecord>& Wanted() const { return mWanted; }
+  const std::map<std::string, EngineRecord>& EnginesToQuery() const { return mEnginesToQuery; }
 
   const std::map<std::string, PlannedReplica>& Replicas() const { return mReplicas; }
   /// Members of the replicas, with the last listed record of each; some may no longer be listed.
@@ -263,7 +263,7 @@
     int mInUse = 0;                       ///< requests in progress at the donors
   };
   /// One incarnation of an engine.
-  struct Start
+  struct Incarnation
   {
     WallTime mBorn{};
     TimePoint mLastSeen{};
@@ -286,14 +286,14 @@
   std::uint64_t NextEpoch();
 
   /// Detects restarted engines, and drops the state of engines that are long gone.
-  void NoteStarts();
-  void NoteStart(const std::string& aEngine, WallTime aBorn, TimePoint aNow);
+  void DetectRestarts();
+  void RecordIncarnation(const std::string& aEngine, WallTime aBorn, TimePoint aNow);
   /// Discards the state of an engine's previous incarnation.
-  void ForgetStart(const std::string& aEngine, TimePoint aNow);
+  void ForgetIncarnation(const std::string& aEngine, TimePoint aNow);
   /// @return false if a message was from or to a stale incarnation of the engine.
-  bool OfNewestStart(const std::string& aEngine, WallTime aBorn) const;
+  bool IsNewestIncarnation(const std::string& aEngine, WallTime aBorn) const;
   void LearnStanding();
-  void WantUnknown();
+  void RequestUnknownStates();
   void Adopt(const std::string& aName, const std::vector<const EngineRecord*>& aMembers);
   void Judge(PlannedReplica& aReplica);
   struct LostMember
@@ -418,7 +418,7 @@
   /// @return whether an engine is in no replica, neither by plan nor by its own statement.
   bool IsFree(const EngineRecord& aEngine) const;
   /// The newest known position of an engine, from its answers, reports and registration.
-  const GroupPlace& PlaceOf(const EngineRecord& aEngine) const;
+  const GroupPlace& PositionOf(const EngineRecord& aEngine) const;
   /// @return whether the engine itself states that it is in a replica other than the named one.
   bool IsElsewhere(const EngineRecord& aEngine, const std::string& aGroup) const;
   /// @return whether an engine is planned for broken replicas only, and states that it is in
@@ -446,7 +446,7 @@
   /// @return false while that state is unknown; the engine is queried.
   bool NameAccepted(GroupOrder& aOrder);
   /// Marks a replica as broken if a member states that it is in no replica or in another one.
-  void BreakIfElsewhere(const std::string& aEngine, const GroupPlace& aPlace, TimePoint aNow);
+  void BreakIfElsewhere(const std::string& aEngine, const GroupPlace& aPosition, TimePoint aNow);
   /// @return whether a join may start now, considering the rate limit if it has to load weights.
   bool MayBringWeights(const GroupOrder& aOrder);
   Duration RepeatAfter(const GroupOrder& aOrder, OrderAnswer aAnswer, bool aLoads) const;
@@ -475,8 +475,8 @@
   /// Engines assumed, without a query, to have accepted no order yet. Each is assumed so only once:
   /// an engine that looks new but has accepted orders would otherwise be sent a join that it always
   /// refuses.
-  std::set<std::string> mTakenForNew;
-  std::map<std::string, EngineRecord> mWanted;
+  std::set<std::string> mAssumedNew;
+  std::map<std::string, EngineRecord> mEnginesToQuery;
   std::map<std::string, EngineRecord> mKnown; ///< members, with their last listed record
   std::map<std::string, TimePoint> mAnsweredAt;
   std::map<std::string, LostJoin> mLostJoins; ///< by engine
@@ -484,7 +484,8 @@
   /// Engines whose address belongs to another engine, as stated by that engine. They return only by
   /// a restart; until then, answers from the address are not theirs.
   std::set<std::string> mGone;
-  std::unordered_map<std::string, Start> mStarts; ///< newest known incarnation, by engine
+  std::unordered_map<std::string, Incarnation>
+    mEngineIncarnations; ///< newest known incarnation, by engine
   TimePoint mForgetDue{};
   std::vector<TimePoint> mLoads;                     ///< started in the last second
   std::map<std::string, std::uint64_t> mLoadCounted; ///< by engine: epoch of the join that loads
--- a/src/pepperbay/coordinator/coordinator_pools.cpp
+++ b/src/pepperbay/coordinator/coordinator_pools.cpp
@@ -201,7 +201,7 @@
 Coordinator::Impl::AskAsPlanned(const GroupPlanner& aPlanner)
 {
   using IfSilent = EngineDoubts::IfSilent;
-  for (const auto& [id, engine] : aPlanner.Wanted()) {
+  for (const auto& [id, engine] : aPlanner.EnginesToQuery()) {
     const bool lapsed = mDirectory.Find(id) == nullptr;
     mDoubts.AskOnce(engine, lapsed ? IfSilent::kIsSuspect : IfSilent::kSaysNothing);
   }
--- a/src/pepperbay/placement/engine_state.cpp
+++ b/src/pepperbay/placement/engine_state.cpp
@@ -35,7 +35,7 @@
 bool
 EngineState::IsIn(const std::string& aGroup, std::uint64_t aEpoch) const
 {
-  return mPlace.mName == aGroup && mPlace.mEpoch == aEpoch;
+  return mPosition.mName == aGroup && mPosition.mEpoch == aEpoch;
 }
 
 std::optional<std::uint64_t>
@@ -45,9 +45,9 @@
 }
 
 bool
-EngineState::ShouldAsk(TimePoint aNow) const
+EngineState::ShouldQuery(TimePoint aNow) const
 {
-  return !mExact && aNow >= mAskFrom;
+  return !mExact && aNow >= mQueryFrom;
 }
 
 OrderProof
@@ -75,7 +75,7 @@
 OrderProof
 EngineState::ProofOfJoin(const GroupOrder& aOrder, OrderAnswer aAnswer) const
 {
-  if (aOrder.mEpoch < mPlace.mEpoch || aOrder.mEpoch <= mLeft) {
+  if (aOrder.mEpoch < mPosition.mEpoch || aOrder.mEpoch <= mLeft) {
     return OrderProof::kIgnored; // a late answer; the engine has moved since
   }
   // A join that carries a number is sent only if the engine is not in that membership at that
@@ -93,7 +93,7 @@
   if (IsIn(aOrder.mGroup, aOrder.mEpoch)) {
     return aOrder.mAccepted ? OrderProof::kDone : OrderProof::kAlreadySo;
   }
-  return mPlace.mName.empty() ? OrderProof::kAlreadySo : OrderProof::kIgnored;
+  return mPosition.mName.empty() ? OrderProof::kAlreadySo : OrderProof::kIgnored;
 }
 
 OrderProof
@@ -109,20 +109,20 @@
       mExact = true;
       break;
     case OrderProof::kAccepted:
-      Doubt(mAccepted + 1, aNow);
-      mAskFrom = mLeastUntil;
+      InvalidateAccepted(mAccepted + 1, aNow);
+      mQueryFrom = mMinAcceptedUntil;
       break;
     case OrderProof::kAlreadySo:
       if (MovesEngine(aOrder)) {
         Apply(aOrder);
-        Doubt(mAccepted, aNow);
+        InvalidateAccepted(mAccepted, aNow);
       }
       break;
     case OrderProof::kRefused:
       OnRefused(aOrder, aNow);
       break;
     case OrderProof::kUnknown:
-      Doubt(mAccepted, aNow);
+      InvalidateAccepted(mAccepted, aNow);
       break;
     case OrderProof::kIgnored:
       break;
@@ -142,15 +142,15 @@
 EngineState::Apply(const GroupOrder& aOrder)
 {
   if (aOrder.mKind == GroupOrderKind::kLeave) {
-    mLeft = std::max(mLeft, mPlace.mEpoch);
-    mPlace = GroupPlace{};
+    mLeft = std::max(mLeft, mPosition.mEpoch);
+    mPosition = GroupPlace{};
     return;
   }
   const auto rank = std::find(aOrder.mMembers.begin(), aOrder.mMembers.end(), aOrder.mEngine);
-  mPlace = { aOrder.mGroup,
-             aOrder.mEpoch,
-             static_cast<int>(rank - aOrder.mMembers.begin()),
-             GroupPhase::kJoining };
+  mPosition = { aOrder.mGroup,
+                aOrder.mEpoch,
+                static_cast<int>(rank - aOrder.mMembers.begin()),
+                GroupPhase::kJoining };
 }
 
 void
@@ -160,41 +160,42 @@
     aOrder.mKind == GroupOrderKind::kJoin || aOrder.mKind == GroupOrderKind::kLeave;
   const bool outdated = mExact && aOrder.mAccepted && *aOrder.mAccepted < mAccepted;
   if (moves && !outdated) {
-    Doubt(aOrder.mAccepted ? *aOrder.mAccepted + 1 : mAccepted, aNow);
+    InvalidateAccepted(aOrder.mAccepted ? *aOrder.mAccepted + 1 : mAccepted, aNow);
   }
 }
 
 void
-EngineState::Doubt(std::uint64_t aLeast, TimePoint aNow)
+EngineState::InvalidateAccepted(std::uint64_t aMinAccepted, TimePoint aNow)
 {
   mExact = false;
-  mLeast = std::max(aNow < mLeastUntil ? mLeast : 0, aLeast);
-  mLeastUntil = aNow + kReportAge;
-  mAskFrom = aNow;
+  mMinAccepted = std::max(aNow < mMinAcceptedUntil ? mMinAccepted : 0, aMinAccepted);
+  mMinAcceptedUntil = aNow + kMaxReportAge;
+  mQueryFrom = aNow;
 }
 
 void
-EngineState::OnReport(const GroupPlace& aPlace, std::uint64_t aAccepted, TimePoint aNow)
+EngineState::OnReport(const GroupPlace& aPosition, std::uint64_t aAccepted, TimePoint aNow)
 {
-  const bool fewer = mExact ? aAccepted < mAccepted : aNow < mLeastUntil && aAccepted < mLeast;
-  const bool older = !aPlace.mName.empty() && aPlace.mEpoch < mPlace.mEpoch;
+  const bool fewer =
+    mExact ? aAccepted < mAccepted : aNow < mMinAcceptedUntil && aAccepted < mMinAccepted;
+  const bool older = !aPosition.mName.empty() && aPosition.mEpoch < mPosition.mEpoch;
   if (fewer || older) {
     return; // older than the known state
   }
-  mPlace = aPlace;
+  mPosition = aPosition;
   mAccepted = aAccepted;
   mExact = true;
 }
 
 void
-EngineState::OnRegistration(const GroupPlace& aPlace)
+EngineState::OnRegistration(const GroupPlace& aPosition)
 {
-  if (aPlace.mName == mRegistered.mName && aPlace.mEpoch == mRegistered.mEpoch) {
+  if (aPosition.mName == mRegistered.mName && aPosition.mEpoch == mRegistered.mEpoch) {
     return; // unchanged, so possibly long out of date
   }
-  mRegistered = aPlace;
-  if (!aPlace.mName.empty() && aPlace.mEpoch > std::max(mLeft, mPlace.mEpoch)) {
-    mPlace = aPlace;
+  mRegistered = aPosition;
+  if (!aPosition.mName.empty() && aPosition.mEpoch > std::max(mLeft, mPosition.mEpoch)) {
+    mPosition = aPosition;
     mExact = false;
   }
 }
--- a/src/pepperbay/placement/engine_state_test.cpp
+++ b/src/pepperbay/placement/engine_state_test.cpp
@@ -36,18 +36,18 @@
 }
 
 GroupPlace
-Place(const std::string& aGroup, std::uint64_t aEpoch)
+Position(const std::string& aGroup, std::uint64_t aEpoch)
 {
   return { aGroup, aEpoch, 1, GroupPhase::kReady };
 }
 
 /// The engine is in r1 at epoch 9 with six orders accepted; its registration shows r1 at epoch 7.
 EngineState
-InNine()
+RegisteredInEpochNine()
 {
   EngineState state;
-  state.OnRegistration(Place("r1", 7));
-  state.OnReport(Place("r1", 9), 6, kNow);
+  state.OnRegistration(Position("r1", 7));
+  state.OnReport(Position("r1", 9), 6, kNow);
   return state;
 }
 
@@ -56,7 +56,7 @@
   EngineState state = EngineState::JustStarted();
   EXPECT_EQ(state.OnAnswer(Join(3, 0), OrderAnswer::kBegun, kNow), OrderProof::kDone);
   EXPECT_TRUE(state.IsIn("r1", 3));
-  EXPECT_EQ(state.Place().mRank, 1);
+  EXPECT_EQ(state.Position().mRank, 1);
   EXPECT_EQ(state.Accepted(), 1U);
   EXPECT_EQ(state.OnAnswer(Join(3), OrderAnswer::kBegun, kNow), OrderProof::kAlreadySo);
   EXPECT_EQ(state.OnAnswer(Join(3), OrderAnswer::kHolds, kNow), OrderProof::kAlreadySo);
@@ -68,21 +68,21 @@
 /// is in no replica.
 TEST(EngineState, ALeaveOfAnOlderEpochProvesNothingOfTheNewer)
 {
-  EngineState state = InNine();
+  EngineState state = RegisteredInEpochNine();
   EXPECT_EQ(state.OnAnswer(Leave(7, 6), OrderAnswer::kHolds, kNow), OrderProof::kIgnored);
   EXPECT_TRUE(state.IsIn("r1", 9));
   EXPECT_EQ(state.OnAnswer(Leave(9, 6), OrderAnswer::kHolds, kNow), OrderProof::kDone);
-  EXPECT_TRUE(state.Place().mName.empty());
+  EXPECT_TRUE(state.Position().mName.empty());
   EXPECT_EQ(state.Accepted(), 7U);
 }
 
 /// Without a number in the order, the engine may have left, or have been ordered elsewhere since.
 TEST(EngineState, ALeaveWithoutANumberLeavesTheNumberToTheEngine)
 {
-  EngineState state = InNine();
+  EngineState state = RegisteredInEpochNine();
   EXPECT_EQ(state.OnAnswer(Leave(9), OrderAnswer::kHolds, kNow), OrderProof::kAlreadySo);
   EXPECT_EQ(state.Accepted(), std::nullopt);
-  EXPECT_TRUE(state.ShouldAsk(kNow));
+  EXPECT_TRUE(state.ShouldQuery(kNow));
 }
 
 /// Guards against treating a member with an outdated registration as free. The member reports a
@@ -90,24 +90,24 @@
 /// valid for half a second only.
 TEST(EngineState, ARegistrationThatStandsStillNeverComesBack)
 {
-  EngineState state = InNine();
-  state.OnRegistration(Place("r1", 7));
+  EngineState state = RegisteredInEpochNine();
+  state.OnRegistration(Position("r1", 7));
   EXPECT_TRUE(state.IsIn("r1", 9));
   state.OnAnswer(Leave(9, 6), OrderAnswer::kHolds, kNow);
-  state.OnRegistration(Place("r1", 9)); // from before it left
-  EXPECT_TRUE(state.Place().mName.empty());
+  state.OnRegistration(Position("r1", 9)); // from before it left
+  EXPECT_TRUE(state.Position().mName.empty());
   EXPECT_EQ(state.Accepted(), 7U);
-  state.OnRegistration(Place("r2", 12)); // by another holder
+  state.OnRegistration(Position("r2", 12)); // by another holder
   EXPECT_TRUE(state.IsIn("r2", 12));
   EXPECT_EQ(state.Accepted(), std::nullopt);
 }
 
 TEST(EngineState, AReportOfBeforeAnAnsweredOrderIsNotTaken)
 {
-  EngineState state = InNine();
+  EngineState state = RegisteredInEpochNine();
   state.OnAnswer(Leave(9, 6), OrderAnswer::kHolds, kNow);
-  state.OnReport(Place("r1", 9), 6, kNow);
-  EXPECT_TRUE(state.Place().mName.empty());
+  state.OnReport(Position("r1", 9), 6, kNow);
+  EXPECT_TRUE(state.Position().mName.empty());
   EXPECT_EQ(state.Accepted(), 7U);
 }
 
@@ -115,14 +115,14 @@
 /// counted shows only in a report that is recent enough.
 TEST(EngineState, AnOpenIsCountedOnceTheEngineSaysSo)
 {
-  EngineState state = InNine();
+  EngineState state = RegisteredInEpochNine();
   const GroupOrder open = Order(GroupOrderKind::kOpen, 9, std::nullopt);
   EXPECT_EQ(state.OnAnswer(open, OrderAnswer::kBegun, kNow), OrderProof::kAccepted);
-  EXPECT_FALSE(state.ShouldAsk(kNow));
-  state.OnReport(Place("r1", 9), 6, kNow + milliseconds(100)); // perhaps from before
+  EXPECT_FALSE(state.ShouldQuery(kNow));
+  state.OnReport(Position("r1", 9), 6, kNow + milliseconds(100)); // perhaps from before
   EXPECT_EQ(state.Accepted(), std::nullopt);
-  EXPECT_TRUE(state.ShouldAsk(kNow + EngineState::kReportAge));
-  state.OnReport(Place("r1", 9), 6, kNow + EngineState::kReportAge);
+  EXPECT_TRUE(state.ShouldQuery(kNow + EngineState::kMaxReportAge));
+  state.OnReport(Position("r1", 9), 6, kNow + EngineState::kMaxReportAge);
   EXPECT_EQ(state.Accepted(), 6U);
 }
 
@@ -131,22 +131,22 @@
 /// just refused is taken from the report again.
 TEST(EngineState, ANumberThatWasRefusedIsNotTakenAgain)
 {
-  EngineState state = InNine();
+  EngineState state = RegisteredInEpochNine();
   EXPECT_EQ(state.OnAnswer(Join(11, 6), OrderAnswer::kNotNow, kNow), OrderProof::kRefused);
-  EXPECT_TRUE(state.ShouldAsk(kNow));
-  state.OnReport(Place("r1", 9), 6, kNow + milliseconds(50));
+  EXPECT_TRUE(state.ShouldQuery(kNow));
+  state.OnReport(Position("r1", 9), 6, kNow + milliseconds(50));
   EXPECT_EQ(state.Accepted(), std::nullopt);
-  state.OnReport(Place("r1", 9), 7, kNow + milliseconds(250));
+  state.OnReport(Position("r1", 9), 7, kNow + milliseconds(250));
   EXPECT_EQ(state.Accepted(), 7U);
 }
 
 TEST(EngineState, AnOrderWithoutAnAnswerLeavesTheNumberOpen)
 {
-  EngineState state = InNine();
+  EngineState state = RegisteredInEpochNine();
   EXPECT_EQ(state.OnAnswer(Join(11, 6), OrderAnswer::kNone, kNow), OrderProof::kUnknown);
   EXPECT_TRUE(state.IsIn("r1", 9));
-  EXPECT_TRUE(state.ShouldAsk(kNow));
-  state.OnReport(Place("r1", 11), 7, kNow);
+  EXPECT_TRUE(state.ShouldQuery(kNow));
+  state.OnReport(Position("r1", 11), 7, kNow);
   EXPECT_TRUE(state.IsIn("r1", 11));
   EXPECT_EQ(state.Accepted(), 7U);
 }
@@ -154,11 +154,11 @@
 /// A late answer to a join must not restore a membership that the engine has left since.
 TEST(EngineState, ALateAnswerToAnOlderJoinIsIgnored)
 {
-  EngineState state = InNine();
+  EngineState state = RegisteredInEpochNine();
   state.OnAnswer(Leave(9, 6), OrderAnswer::kHolds, kNow);
   EXPECT_EQ(state.OnAnswer(Join(9), OrderAnswer::kHolds, kNow), OrderProof::kIgnored);
   EXPECT_EQ(state.OnAnswer(Join(8, 5), OrderAnswer::kBegun, kNow), OrderProof::kIgnored);
-  EXPECT_TRUE(state.Place().mName.empty());
+  EXPECT_TRUE(state.Position().mName.empty());
   EXPECT_EQ(state.Accepted(), 7U);
 }
 
--- a/src/pepperbay/placement/group_planner.cpp
+++ b/src/pepperbay/placement/group_planner.cpp
@@ -71,9 +71,9 @@
   for (const auto& [id, engine] : *aView.mEngines) {
     mByDomain[engine.mDomain].push_back(&engine);
   }
-  NoteStarts();
+  DetectRestarts();
   LearnStanding();
-  WantUnknown();
+  RequestUnknownStates();
   RememberMembers();
   for (auto& [name, replica] : mReplicas) {
     Judge(replica);
@@ -123,7 +123,7 @@
         mAnsweredAt[it] = mView->mNow; // a listing counts as an answer
       } else if (known != mKnown.end()) {
         members[it] = known->second;
-        mWanted[it] = known->second;
+        mEnginesToQuery[it] = known->second;
       }
     }
   }
@@ -141,7 +141,7 @@
 GroupPlanner::Usable(const EngineRecord& aEngine) const
 {
   return aEngine.mService == mView->mService && !aEngine.mLeaving &&
-         OfNewestStart(aEngine.mId, aEngine.mBorn) && mUnanswering.count(aEngine.mId) == 0 &&
+         IsNewestIncarnation(aEngine.mId, aEngine.mBorn) && mUnanswering.count(aEngine.mId) == 0 &&
          mGone.count(aEngine.mId) == 0 && !mView->mDead(aEngine.mId);
 }
 
@@ -170,9 +170,9 @@
     ++n;
     const GroupPlace& place = engine.mGroup;
     // An outdated registration would bring back a replica that its engines have left.
-    const GroupPlace& newest = PlaceOf(engine);
+    const GroupPlace& newest = PositionOf(engine);
     const bool outdated = place.mName != newest.mName || place.mEpoch != newest.mEpoch;
-    if (place.mName.empty() || outdated || !OfNewestStart(id, engine.mBorn)) {
+    if (place.mName.empty() || outdated || !IsNewestIncarnation(id, engine.mBorn)) {
       continue;
     }
     if (!engine.mLoadedModels.empty()) {
@@ -202,18 +202,18 @@
 }
 
 void
-GroupPlanner::WantUnknown()
+GroupPlanner::RequestUnknownStates()
 {
-  mWanted.clear();
+  mEnginesToQuery.clear();
   for (const auto& [id, engine] : *mView->mEngines) {
-    if (engine.mService != mView->mService || !mStates[id].ShouldAsk(mView->mNow)) {
+    if (engine.mService != mView->mService || !mStates[id].ShouldQuery(mView->mNow)) {
       continue;
     }
     const bool fresh = engine.mGroup.mName.empty() && engine.mStagedModels.empty();
-    if (fresh && mTakenForNew.insert(id).second) {
+    if (fresh && mAssumedNew.insert(id).second) {
       mStates[id] = EngineState::JustStarted(); // otherwise it refuses and is queried
     } else if (Usable(engine)) {
-      mWanted[id] = engine;
+      mEnginesToQuery[id] = engine;
     }
   }
 }
@@ -334,7 +334,7 @@
     return mView->mNow - answered->second >= mOptions.mUnlistedAnswers + mOptions.mMaxPause;
   }
   return mGone.count(aMember) != 0 || engine->mService != mView->mService ||
-         !OfNewestStart(aMember, engine->mBorn);
+         !IsNewestIncarnation(aMember, engine->mBorn);
 }
 
 bool
@@ -431,16 +431,16 @@
 }
 
 const GroupPlace&
-GroupPlanner::PlaceOf(const EngineRecord& aEngine) const
+GroupPlanner::PositionOf(const EngineRecord& aEngine) const
 {
   const auto it = mStates.find(aEngine.mId);
-  return it == mStates.end() ? aEngine.mGroup : it->second.Place();
+  return it == mStates.end() ? aEngine.mGroup : it->second.Position();
 }
 
 bool
 GroupPlanner::IsElsewhere(const EngineRecord& aEngine, const std::string& aGroup) const
 {
-  const std::string& group = PlaceOf(aEngine).mName;
+  const std::string& group = PositionOf(aEngine).mName;
   return !group.empty() && !IsSpareGroup(group) && group != aGroup;
 }
 
--- a/src/pepperbay/placement/group_planner_orders.cpp
+++ b/src/pepperbay/placement/group_planner_orders.cpp
@@ -62,7 +62,7 @@
   for (const auto& it : aReplica.mMembers) {
     const EngineRecord* engine = Find(it);
     const GroupPlace& place = engine->mGroup;
-    if (!OfNewestStart(it, engine->mBorn)) {
+    if (!IsNewestIncarnation(it, engine->mBorn)) {
       continue;
     }
     if (place.mName == aReplica.mName && place.mEpoch == aReplica.mEpoch &&
@@ -103,8 +103,8 @@
   pending.mLoads =
     aOrder.mKind == GroupOrderKind::kJoin && JoinTime(*engine, aOrder.mModel) > kRejoinTime;
   aOrder.mAddress = engine->mAddress;
-  const auto start = mStarts.find(aOrder.mEngine);
-  aOrder.mBorn = start == mStarts.end() ? WallTime{} : start->second.mBorn;
+  const auto incarnation = mEngineIncarnations.find(aOrder.mEngine);
+  aOrder.mBorn = incarnation == mEngineIncarnations.end() ? WallTime{} : incarnation->second.mBorn;
   mOrders.push_back(std::move(aOrder));
   return true;
 }
@@ -161,7 +161,7 @@
 {
   aOrder.mAccepted = mStates[aOrder.mEngine].Accepted();
   if (!aOrder.mAccepted) {
-    mWanted[aOrder.mEngine] = *Find(aOrder.mEngine);
+    mEnginesToQuery[aOrder.mEngine] = *Find(aOrder.mEngine);
   }
   return aOrder.mAccepted.has_value();
 }
@@ -170,7 +170,7 @@
 GroupPlanner::OnAnswer(const GroupOrder& aOrder, OrderAnswer aAnswer, TimePoint aNow)
 {
   const bool unknown = aAnswer == OrderAnswer::kNone || aAnswer == OrderAnswer::kUnread;
-  if (!OfNewestStart(aOrder.mEngine, aOrder.mBorn)) {
+  if (!IsNewestIncarnation(aOrder.mEngine, aOrder.mBorn)) {
     // Only possible later effects matter: a join without an answer may reach the new incarnation.
     if (unknown && aOrder.mKind == GroupOrderKind::kJoin) {
       mLostJoins[aOrder.mEngine] = { aOrder.mGroup, aOrder.mEpoch, aNow + mOptions.mLateOrder };
@@ -259,10 +259,10 @@
 void
 GroupPlanner::OnReport(const std::string& aEngine, const EngineReport& aReport, TimePoint aNow)
 {
-  if (!OfNewestStart(aEngine, aReport.mBorn)) {
+  if (!IsNewestIncarnation(aEngine, aReport.mBorn)) {
     return; // reports lag: this one is from before the engine's restart
   }
-  NoteStart(aEngine, aReport.mBorn, aNow);
+  RecordIncarnation(aEngine, aReport.mBorn, aNow);
   mStates[aEngine].OnReport(aReport.mGroup, aReport.mAccepted, aNow);
   mAnsweredAt[aEngine] = aNow;
   const GroupPlace& place = aReport.mGroup;
@@ -276,7 +276,9 @@
 }
 
 void
-GroupPlanner::BreakIfElsewhere(const std::string& aEngine, const GroupPlace& aPlace, TimePoint aNow)
+GroupPlanner::BreakIfElsewhere(const std::string& aEngine,
+                               const GroupPlace& aPosition,
+                               TimePoint aNow)
 {
   // A member that has restarted, or that another holder has ordered away, still answers but no
   // longer works in the replica. The head makes no progress although every member seems to be
@@ -287,8 +289,8 @@
   }
   for (const auto& name : names->second) {
     PlannedReplica& replica = mReplicas.at(name);
-    const bool in = aPlace.mName == name && aPlace.mEpoch == replica.mEpoch;
-    const bool settled = aNow - replica.mSince >= 2 * EngineState::kReportAge;
+    const bool in = aPosition.mName == name && aPosition.mEpoch == replica.mEpoch;
+    const bool settled = aNow - replica.mSince >= 2 * EngineState::kMaxReportAge;
     if (replica.mPhase == ReplicaPhase::kOpen && settled && !in) {
       Break(replica, aEngine + " says that it is not in it", aNow);
     }
--- a/src/pepperbay/placement/group_planner_spares.cpp
+++ b/src/pepperbay/placement/group_planner_spares.cpp
@@ -175,8 +175,8 @@
   order.mKind = GroupOrderKind::kLeave;
   order.mFence = mView->mFence;
   order.mEngine = aEngine.mId;
-  order.mGroup = PlaceOf(aEngine).mName;
-  order.mEpoch = PlaceOf(aEngine).mEpoch;
+  order.mGroup = PositionOf(aEngine).mName;
+  order.mEpoch = PositionOf(aEngine).mEpoch;
   Give(order);
 }
 
--- a/src/pepperbay/placement/group_planner_starts.cpp
+++ b/src/pepperbay/placement/group_planner_starts.cpp
@@ -15,14 +15,14 @@
 }
 
 void
-GroupPlanner::NoteStarts()
+GroupPlanner::DetectRestarts()
 {
   const TimePoint now = mView->mNow;
   for (const auto& [id, engine] : *mView->mEngines) {
     if (engine.mService == mView->mService) {
-      NoteStart(id, engine.mBorn, now);
-      mStarts[id].mLastSeen = now;
-      if (OfNewestStart(id, engine.mBorn)) {
+      RecordIncarnation(id, engine.mBorn, now);
+      mEngineIncarnations[id].mLastSeen = now;
+      if (IsNewestIncarnation(id, engine.mBorn)) {
         mStates[id].OnRegistration(engine.mGroup);
       }
     }
@@ -34,37 +34,37 @@
   for (auto it = mGivenUp.begin(); it != mGivenUp.end();) {
     it = now - it->second.mAt >= mOptions.mForgetAfter ? mGivenUp.erase(it) : std::next(it);
   }
-  for (auto it = mStarts.begin(); it != mStarts.end();) {
+  for (auto it = mEngineIncarnations.begin(); it != mEngineIncarnations.end();) {
     const bool gone = now - it->second.mLastSeen >= mOptions.mForgetAfter && !InReplica(it->first);
     if (gone) {
-      ForgetStart(it->first, now);
+      ForgetIncarnation(it->first, now);
       mStates.erase(it->first);
-      mTakenForNew.erase(it->first);
+      mAssumedNew.erase(it->first);
       mLostJoins.erase(it->first);
     }
-    it = gone ? mStarts.erase(it) : std::next(it);
+    it = gone ? mEngineIncarnations.erase(it) : std::next(it);
   }
 }
 
 void
-GroupPlanner::NoteStart(const std::string& aEngine, WallTime aBorn, TimePoint aNow)
+GroupPlanner::RecordIncarnation(const std::string& aEngine, WallTime aBorn, TimePoint aNow)
 {
-  Start& start = mStarts[aEngine];
-  if (aBorn <= start.mBorn) {
+  Incarnation& incarnation = mEngineIncarnations[aEngine];
+  if (aBorn <= incarnation.mBorn) {
     return;
   }
-  const bool again = start.mBorn != WallTime{};
-  start.mBorn = aBorn;
+  const bool again = incarnation.mBorn != WallTime{};
+  incarnation.mBorn = aBorn;
   if (!again) {
     return;
   }
   // A head whose member has restarted keeps accepting requests that make no progress, until it
   // breaks seconds later. The restarted engine itself is like a new one with weights on its host.
-  ForgetStart(aEngine, aNow);
+  ForgetIncarnation(aEngine, aNow);
 }
 
 void
-GroupPlanner::ForgetStart(const std::string& aEngine, TimePoint aNow)
+GroupPlanner::ForgetIncarnation(const std::string& aEngine, TimePoint aNow)
 {
   mSpares.erase(aEngine);
   mStaging.erase(aEngine);
@@ -79,7 +79,7 @@
   // It has accepted no order yet. If another holder was faster, the engine refuses our order and is
   // queried.
   mStates[aEngine] = EngineState::JustStarted();
-  mTakenForNew.insert(aEngine);
+  mAssumedNew.insert(aEngine);
   // mLostJoins is kept: a late order to the previous incarnation is carried out by this one.
   const auto names = mReplicasOf.find(aEngine);
   if (names == mReplicasOf.end()) {
@@ -97,10 +97,10 @@
 }
 
 bool
-GroupPlanner::OfNewestStart(const std::string& aEngine, WallTime aBorn) const
+GroupPlanner::IsNewestIncarnation(const std::string& aEngine, WallTime aBorn) const
 {
-  const auto it = mStarts.find(aEngine);
-  return it == mStarts.end() || aBorn >= it->second.mBorn;
+  const auto it = mEngineIncarnations.find(aEngine);
+  return it == mEngineIncarnations.end() || aBorn >= it->second.mBorn;
 }
 
 } // namespace pepperbay
--- a/src/pepperbay/placement/group_planner_world.hpp
+++ b/src/pepperbay/placement/group_planner_world.hpp
@@ -107,7 +107,7 @@
     }
     const auto orders = aPlanner.Plan(view);
     mMaxGiven = std::max(mMaxGiven, static_cast<int>(orders.size()));
-    const auto wanted = aPlanner.Wanted();
+    const auto wanted = aPlanner.EnginesToQuery();
     for (const auto& [it, engine] : wanted) {
       if (mPool.At(it).mAlive && mFound.count(it) == 0 && mSilent.count(it) == 0) {
         aPlanner.OnReport(it, OldReport(it), Now());
