--- a/bench/pools/pool_world.cpp
+++ b/bench/pools/pool_world.cpp
@@ -62,12 +62,12 @@
   view.mNow = Now();
   view.mFence = 1;
   view.mTraffic = mTraffic;
-  view.mDead = [this](const std::string& aEngine) {
+  view.mIsUnreachable = [this](const std::string& aEngine) {
     const auto it = mDied.find(aEngine);
     return it != mDied.end() && Now() - it->second >= mOptions.mFoundAfter;
   };
   view.mInFlight = [this](const std::string& aHead) { return mInFlight ? mInFlight(aHead) : 0; };
-  view.mStandsStill = [this](const std::string& aHead) { return !mPool.ServesWhole(aHead, Now()); };
+  view.mIsStalled = [this](const std::string& aHead) { return !mPool.ServesWhole(aHead, Now()); };
   const auto before = std::chrono::steady_clock::now();
   const auto orders = mPlanner.Plan(view);
   mPlanning += std::chrono::steady_clock::now() - before;
--- a/include/pepperbay/placement/group_planner.hpp
+++ b/include/pepperbay/placement/group_planner.hpp
@@ -129,10 +129,10 @@
   bool mTraffic =
     false; ///< requests have arrived: weight loads count against the store's rate limit
   /// Returns whether the engine does not answer, whatever its registration says.
-  std::function<bool(const std::string& aEngine)> mDead;
+  std::function<bool(const std::string& aEngine)> mIsUnreachable;
   /// Returns whether an engine that does not answer has exited; otherwise it may only pause. If
   /// null, every such engine counts as exited.
-  std::function<bool(const std::string& aEngine)> mEnded = nullptr;
+  std::function<bool(const std::string& aEngine)> mHasExited = nullptr;
   /// Returns the number of requests of all nodes in progress at a head.
   std::function<int(const std::string& aHead)> mInFlight;
   /// Returns the rate limit in requests per second that a head accepts from all nodes together;
@@ -142,7 +142,7 @@
   /// if nothing is known about it. May be null.
   std::function<int(const std::string& aGroup, std::uint64_t aEpoch)> mInFlightAtFormerHead;
   /// Returns whether nodes report that the streams of a head make no progress.
-  std::function<bool(const std::string& aHead)> mStandsStill;
+  std::function<bool(const std::string& aHead)> mIsStalled;
 };
 
 enum class ReplicaPhase
@@ -183,7 +183,7 @@
   TimePoint mSince{};               ///< start of the phase
   std::optional<TimePoint> mLeavingSince; ///< a member leaves; requests in progress may complete
   bool mMemberLost = false;               ///< a member does not answer but may still work
-  bool mHeadUnknown = false;              ///< discovered without its head, which may still work
+  bool mHeadUnlisted = false;             ///< discovered without its head, which may still work
   TimePoint mNotBefore{};                 ///< if broken, it is not re-formed before
   bool mGivenUp = false;                  ///< its engines are needed by another replica
   std::string mWhy;                       ///< the reason why it does not serve
@@ -213,7 +213,7 @@
   const std::map<std::string, EngineRecord>& Members() const { return mKnown; }
   /// Engines that left orders unanswered; they count as lost until they answer again.
   const std::set<std::string>& Unanswering() const { return mUnanswering; }
-  void Forgive(const std::string& aEngine);
+  void ReinstateEngine(const std::string& aEngine);
   /// @return the changes of composition since the last call.
   std::vector<CompositionChange> TakeChanges();
   /// @return the replicas of each model and the use of their slots, as of the last round.
@@ -239,8 +239,8 @@
     std::uint64_t mEpoch = 0;
     TimePoint mAt{};
   };
-  /// A join that was not answered; see InDoubt().
-  struct LostJoin
+  /// A join that was not answered; see MayJoinLate().
+  struct UnansweredJoin
   {
     std::string mGroup;
     std::uint64_t mEpoch = 0;
@@ -292,33 +292,33 @@
   void ForgetIncarnation(const std::string& aEngine, TimePoint aNow);
   /// @return false if a message was from or to a stale incarnation of the engine.
   bool IsNewestIncarnation(const std::string& aEngine, WallTime aBorn) const;
-  void LearnStanding();
+  void DiscoverReplicas();
   void RequestUnknownStates();
   void Adopt(const std::string& aName, const std::vector<const EngineRecord*>& aMembers);
-  void Judge(PlannedReplica& aReplica);
+  void CheckReplica(PlannedReplica& aReplica);
   struct LostMember
   {
-    std::string mName;   ///< for status reports
-    bool mEnded = false; ///< false: it may only pause
+    std::string mName;       ///< for status reports
+    bool mHasExited = false; ///< false: it may only pause
   };
   /// @return a member that is missing or does not answer; members that have exited take precedence.
   std::optional<LostMember> FindLost(const PlannedReplica& aReplica) const;
   /// @return whether a lost member has exited and will not continue.
-  bool HasEnded(const std::string& aMember) const;
+  bool HasExited(const std::string& aMember) const;
   /// @return whether a member does not answer and may continue at any moment.
   bool HasSilentMember(const PlannedReplica& aReplica) const;
   /// @return whether a replica must take no new requests although all its members answer.
-  bool IsToLeave(const PlannedReplica& aReplica) const;
+  bool MustDrain(const PlannedReplica& aReplica) const;
   /// @return whether a replica that takes no new requests still has some in progress.
-  bool WorksOn(const PlannedReplica& aReplica) const;
+  bool HasRequestsInProgress(const PlannedReplica& aReplica) const;
   /// @return whether the unlisted head of a discovered replica still has requests in progress.
-  bool UnknownHeadWorks(const PlannedReplica& aReplica) const;
+  bool UnlistedHeadHasRequests(const PlannedReplica& aReplica) const;
   void Break(PlannedReplica& aReplica, std::string aWhy, TimePoint aNow);
   /// Queues the orders that forming and opening replicas need.
-  void Drive();
+  void AdvanceReplicas();
   void Open(PlannedReplica& aReplica);
   void Join(const PlannedReplica& aReplica);
-  void NoteReadiness(PlannedReplica& aReplica);
+  void UpdateReadiness(PlannedReplica& aReplica);
   void RepairBroken();
   /// Gives up a broken replica if its members complete another one that waits in the same domain.
   void JoinSurvivors();
@@ -354,8 +354,8 @@
                                                const ModelSpec& aFrom,
                                                const ModelSpec& aTo);
   /// @return the number of members of the replicas that can join a model without loading weights.
-  std::size_t QuickMembers(const std::vector<PlannedReplica*>& aReplicas,
-                           const std::string& aModel) const;
+  std::size_t MembersJoiningWithoutLoad(const std::vector<PlannedReplica*>& aReplicas,
+                                        const std::string& aModel) const;
   std::size_t MovingEngines() const;
   /// @return the model that free engines of a domain form a replica of: the target of a rebalance
   /// there, or the model furthest below its share of the engines; null if there are too few
@@ -371,7 +371,7 @@
   double ModelSlotUtilisation(const std::string& aModel, std::size_t aWithout) const;
   /// @return the number of engines that a broken replica lacks and that no ready engine of its
   /// domain can replace.
-  std::size_t LacksReady(const PlannedReplica& aReplica) const;
+  std::size_t MissingReady(const PlannedReplica& aReplica) const;
   /// @return the replica to give up; empty if none helps another
   std::string DonorAmong(std::vector<PlannedReplica*> aWaiting) const;
   enum class Ready
@@ -391,7 +391,7 @@
   /// none.
   std::size_t MissingMembers(const PlannedReplica& aReplica) const;
   /// @return whether the engine can join a replica of the model without loading weights.
-  bool IsQuick(const EngineRecord& aEngine, const std::string& aModel) const;
+  bool JoinsWithoutLoad(const EngineRecord& aEngine, const std::string& aModel) const;
   /// @return the number of engines in open replicas of a model, relative to its share.
   double OpenShare(const std::string& aModel) const;
   /// @return whether a repair may start with an engine that has to load weights first.
@@ -407,7 +407,7 @@
   void FormNew();
   /// @return a replica name that is unique across holders of the lease and pools.
   std::string NewName();
-  void CareForSpares();
+  void MaintainSpares();
   std::string SpareModelFor(const EngineRecord& aEngine,
                             const std::map<std::string, int>& aStandby) const;
 
@@ -420,14 +420,14 @@
   /// The newest known position of an engine, from its answers, reports and registration.
   const GroupPlace& PositionOf(const EngineRecord& aEngine) const;
   /// @return whether the engine itself states that it is in a replica other than the named one.
-  bool IsElsewhere(const EngineRecord& aEngine, const std::string& aGroup) const;
+  bool IsInOtherReplica(const EngineRecord& aEngine, const std::string& aGroup) const;
   /// @return whether an engine is planned for broken replicas only, and states that it is in
   /// another.
   bool IsAwayFromItsReplicas(const EngineRecord& aEngine) const;
   void Dismiss(const EngineRecord& aEngine);
   void StageOther(const EngineRecord& aEngine, const std::string& aModel);
   /// @return whether the engine may still carry out a join to another group than this.
-  bool InDoubt(const std::string& aEngine, const std::string& aGroup) const;
+  bool MayJoinLate(const std::string& aEngine, const std::string& aGroup) const;
   Duration JoinTime(const EngineRecord& aEngine, const std::string& aModel) const;
   Duration LoadTime(const std::string& aModel) const;
   bool InReplica(const std::string& aEngine) const { return InOtherReplica(aEngine, ""); }
@@ -438,17 +438,17 @@
   void RemoveFromIndex(const PlannedReplica& aReplica);
   void Begin(PlannedReplica& aReplica, std::vector<std::string> aMembers);
   /// @return whether an order of this kind may be sent to the engine now.
-  bool IsDue(const std::string& aEngine, GroupOrderKind aKind) const;
-  bool Give(GroupOrder aOrder);
+  bool IsOrderDue(const std::string& aEngine, GroupOrderKind aKind) const;
+  bool QueueOrder(GroupOrder aOrder);
   /// Makes the engine refuse a join that was planned on outdated state of it.
-  bool Guard(GroupOrder& aOrder);
+  bool GuardJoin(GroupOrder& aOrder);
   /// Makes the engine refuse an order unless it is in the known state.
   /// @return false while that state is unknown; the engine is queried.
   bool NameAccepted(GroupOrder& aOrder);
   /// Marks a replica as broken if a member states that it is in no replica or in another one.
-  void BreakIfElsewhere(const std::string& aEngine, const GroupPlace& aPosition, TimePoint aNow);
+  void BreakIfInOtherGroup(const std::string& aEngine, const GroupPlace& aPosition, TimePoint aNow);
   /// @return whether a join may start now, considering the rate limit if it has to load weights.
-  bool MayBringWeights(const GroupOrder& aOrder);
+  bool MayLoadWeights(const GroupOrder& aOrder);
   Duration RepeatAfter(const GroupOrder& aOrder, OrderAnswer aAnswer, bool aLoads) const;
   bool MayLoad();
 
@@ -479,11 +479,11 @@
   std::map<std::string, EngineRecord> mEnginesToQuery;
   std::map<std::string, EngineRecord> mKnown; ///< members, with their last listed record
   std::map<std::string, TimePoint> mAnsweredAt;
-  std::map<std::string, LostJoin> mLostJoins; ///< by engine
+  std::map<std::string, UnansweredJoin> mUnansweredJoins; ///< by engine
   std::set<std::string> mUnanswering;
   /// Engines whose address belongs to another engine, as stated by that engine. They return only by
   /// a restart; until then, answers from the address are not theirs.
-  std::set<std::string> mGone;
+  std::set<std::string> mSupersededEngines;
   std::unordered_map<std::string, Incarnation>
     mEngineIncarnations; ///< newest known incarnation, by engine
   TimePoint mForgetDue{};
--- a/scripts/mutants/shared_pool.sh
+++ b/scripts/mutants/shared_pool.sh
@@ -87,13 +87,13 @@
   's/if \(aOrder.mKind == GroupOrderKind::kStage \&\& !taken\)/if (false)/' \
   placement_group_planner_places_test '*ToStage*'
 mutant "late joins are forgotten" $groups/group_planner.cpp \
-  's/return it != mLostJoins.end\(\) .*/return false;/' placement_group_planner_test '*NeverServes*'
+  's/return it != mUnansweredJoins.end\(\) .*/return false;/' placement_group_planner_test '*NeverServes*'
 mutant "loads of joins are not counted" $groups/group_planner_orders.cpp \
-  's/MayBringWeights\(aOrder\) \&\& Guard/Guard/' placement_group_planner_test '*LoadsKeep*'
+  's/MayLoadWeights\(aOrder\) \&\& GuardJoin/GuardJoin/' placement_group_planner_test '*LoadsKeep*'
 mutant "a lease is held without its record" $s/lease/log_lease.cpp \
   's/if \(!aResult.value\(\).mAppended\)/if (false)/' lease_log_lease_test '*NeverHeldTwice*'
 mutant "an engine that was replaced is forgiven" $groups/group_planner_orders.cpp \
-  's/mGone.insert\(aOrder.mEngine\);/mUnanswering.insert(aOrder.mEngine);/' \
+  's/mSupersededEngines.insert\(aOrder.mEngine\);/mUnanswering.insert(aOrder.mEngine);/' \
   placement_group_planner_test '*BelongsToAnother*'
 mutant "any node gives orders" $s/coordinator/coordinator_pools.cpp \
   's/return mLease.Held\(\) \|\| .*/return true;/' coordinator_coordinator_test '*OneNodeOrders*'
--- a/src/pepperbay/coordinator/coordinator_pools.cpp
+++ b/src/pepperbay/coordinator/coordinator_pools.cpp
@@ -61,8 +61,8 @@
   view.mFence = mLease.Fence();
   view.mMaxOrders = mCalls.RoomForOrders();
   view.mTraffic = mTraffic;
-  view.mDead = [this](const std::string& aEngine) { return mDoubts.IsLost(aEngine); };
-  view.mEnded = [this](const std::string& aEngine) { return mDoubts.HasEnded(aEngine); };
+  view.mIsUnreachable = [this](const std::string& aEngine) { return mDoubts.IsLost(aEngine); };
+  view.mHasExited = [this](const std::string& aEngine) { return mDoubts.HasEnded(aEngine); };
   // Most rounds ask for none, some for every head of the pool.
   std::optional<std::unordered_map<std::string, int>> others;
   view.mInFlight = [this, &others](const std::string& aHead) {
@@ -83,7 +83,7 @@
   view.mInFlightAtFormerHead = [this](const std::string& aGroup, std::uint64_t aEpoch) {
     return InFlightAtFormerHead(aGroup, aEpoch);
   };
-  view.mStandsStill = [this](const std::string& aHead) {
+  view.mIsStalled = [this](const std::string& aHead) {
     const auto it = mSilentHeads.find(aHead);
     return it != mSilentHeads.end() && Now() - it->second < kSilenceHolds;
   };
@@ -328,7 +328,7 @@
   const auto planner = mPlanners.find(aEngine.mService);
   if (!aVerdict.mLostBy) {
     if (planner != mPlanners.end()) {
-      planner->second.Forgive(aEngine.mId);
+      planner->second.ReinstateEngine(aEngine.mId);
     }
     return;
   }
--- a/src/pepperbay/coordinator/coordinator_registrations.cpp
+++ b/src/pepperbay/coordinator/coordinator_registrations.cpp
@@ -88,7 +88,7 @@
   const auto planner = mPlanners.find(aEngine.mService);
   if (planner != mPlanners.end()) {
     planner->second.OnReport(aEngine.mId, aReport, Now());
-    planner->second.Forgive(aEngine.mId);
+    planner->second.ReinstateEngine(aEngine.mId);
   }
 }
 
--- a/src/pepperbay/placement/group_planner.cpp
+++ b/src/pepperbay/placement/group_planner.cpp
@@ -72,19 +72,19 @@
     mByDomain[engine.mDomain].push_back(&engine);
   }
   DetectRestarts();
-  LearnStanding();
+  DiscoverReplicas();
   RequestUnknownStates();
   RememberMembers();
   for (auto& [name, replica] : mReplicas) {
-    Judge(replica);
+    CheckReplica(replica);
   }
   RepairBroken();
   if (mView->mTraffic && ObserveUse()) {
     RebalanceReplicas();
   }
   FormNew();
-  Drive();
-  CareForSpares();
+  AdvanceReplicas();
+  MaintainSpares();
   mByDomain.clear();
   mView = nullptr;
   return std::exchange(mOrders, {});
@@ -128,9 +128,9 @@
     }
   }
   mKnown = std::move(members);
-  for (auto it = mGone.begin(); it != mGone.end();) {
+  for (auto it = mSupersededEngines.begin(); it != mSupersededEngines.end();) {
     const bool needed = FindListed(*it) != nullptr || mKnown.count(*it) != 0;
-    it = needed ? std::next(it) : mGone.erase(it);
+    it = needed ? std::next(it) : mSupersededEngines.erase(it);
   }
   for (auto it = mAnsweredAt.begin(); it != mAnsweredAt.end();) {
     it = mKnown.count(it->first) == 0 ? mAnsweredAt.erase(it) : std::next(it);
@@ -142,7 +142,7 @@
 {
   return aEngine.mService == mView->mService && !aEngine.mLeaving &&
          IsNewestIncarnation(aEngine.mId, aEngine.mBorn) && mUnanswering.count(aEngine.mId) == 0 &&
-         mGone.count(aEngine.mId) == 0 && !mView->mDead(aEngine.mId);
+         mSupersededEngines.count(aEngine.mId) == 0 && !mView->mIsUnreachable(aEngine.mId);
 }
 
 bool
@@ -159,7 +159,7 @@
 }
 
 void
-GroupPlanner::LearnStanding()
+GroupPlanner::DiscoverReplicas()
 {
   std::map<std::string, std::vector<const EngineRecord*>> groups;
   std::size_t n = 0;
@@ -277,10 +277,10 @@
   const bool whole = members.size() == model->mSize && headListed;
   const bool open = head.mGroup.mPhase == GroupPhase::kOpen;
   // A head that states that it is open keeps working without an unlisted member until it states
-  // otherwise. Judge() finds the missing member.
+  // otherwise. CheckReplica() finds the missing member.
   replica.mPhase = headListed && open ? ReplicaPhase::kOpen : ReplicaPhase::kBroken;
   replica.mWhy = whole ? "found not open" : "found without all members";
-  replica.mHeadUnknown = !headListed;
+  replica.mHeadUnlisted = !headListed;
   if (known != mReplicas.end()) {
     // Another holder has re-formed it, perhaps without some members; those are free.
     RemoveFromIndex(known->second);
@@ -295,12 +295,12 @@
   std::optional<LostMember> silent;
   for (const auto& it : aReplica.mMembers) {
     const EngineRecord* engine = Find(it);
-    const bool answers = !mView->mDead(it) && mUnanswering.count(it) == 0;
+    const bool answers = !mView->mIsUnreachable(it) && mUnanswering.count(it) == 0;
     const bool leaves = engine != nullptr && engine->mLeaving && answers;
     if (leaves || (engine != nullptr && Usable(*engine))) {
       continue;
     }
-    if (HasEnded(it)) {
+    if (HasExited(it)) {
       return LostMember{ it, true };
     }
     silent = silent ? silent : LostMember{ it, false };
@@ -317,10 +317,10 @@
 }
 
 bool
-GroupPlanner::HasEnded(const std::string& aMember) const
+GroupPlanner::HasExited(const std::string& aMember) const
 {
-  const bool dead = mView->mDead(aMember);
-  if (dead && (!mView->mEnded || mView->mEnded(aMember))) {
+  const bool dead = mView->mIsUnreachable(aMember);
+  if (dead && (!mView->mHasExited || mView->mHasExited(aMember))) {
     return true;
   }
   const auto answered = mAnsweredAt.find(aMember);
@@ -333,7 +333,7 @@
     // it.
     return mView->mNow - answered->second >= mOptions.mUnlistedAnswers + mOptions.mMaxPause;
   }
-  return mGone.count(aMember) != 0 || engine->mService != mView->mService ||
+  return mSupersededEngines.count(aMember) != 0 || engine->mService != mView->mService ||
          !IsNewestIncarnation(aMember, engine->mBorn);
 }
 
@@ -342,13 +342,13 @@
 {
   return std::any_of(
     aReplica.mMembers.begin(), aReplica.mMembers.end(), [this](const std::string& aMember) {
-      const bool silent = mView->mDead(aMember) || mUnanswering.count(aMember) != 0;
-      return silent && !HasEnded(aMember);
+      const bool silent = mView->mIsUnreachable(aMember) || mUnanswering.count(aMember) != 0;
+      return silent && !HasExited(aMember);
     });
 }
 
 bool
-GroupPlanner::IsToLeave(const PlannedReplica& aReplica) const
+GroupPlanner::MustDrain(const PlannedReplica& aReplica) const
 {
   // Requests must not go to an engine without a registration, and they go to the head.
   if (aReplica.mGivenUp || FindListed(aReplica.mMembers.front()) == nullptr) {
@@ -362,20 +362,20 @@
 }
 
 void
-GroupPlanner::Judge(PlannedReplica& aReplica)
+GroupPlanner::CheckReplica(PlannedReplica& aReplica)
 {
   if (aReplica.mPhase == ReplicaPhase::kBroken) {
     return;
   }
   const std::optional<LostMember> lost = FindLost(aReplica);
   aReplica.mMemberLost = lost.has_value();
-  if (!lost && !IsToLeave(aReplica)) {
+  if (!lost && !MustDrain(aReplica)) {
     aReplica.mLeavingSince.reset();
     return;
   }
   std::string why = "a member leaves";
   if (lost) {
-    why = (lost->mEnded ? "lost member " : "silent member ") + lost->mName;
+    why = (lost->mHasExited ? "lost member " : "silent member ") + lost->mName;
   } else if (aReplica.mGivenUp) {
     why = "its engines are needed by another";
   }
@@ -388,28 +388,28 @@
   }
   aReplica.mWhy = why;
   // A member that is only silent may continue, and all streams with it.
-  const bool mayGoOn = lost && !lost->mEnded;
-  if (!mayGoOn && !WorksOn(aReplica)) {
+  const bool mayGoOn = lost && !lost->mHasExited;
+  if (!mayGoOn && !HasRequestsInProgress(aReplica)) {
     Break(aReplica, std::move(why), mView->mNow);
   }
 }
 
 bool
-GroupPlanner::WorksOn(const PlannedReplica& aReplica) const
+GroupPlanner::HasRequestsInProgress(const PlannedReplica& aReplica) const
 {
   // The first member that joins again ends the group and all its streams in progress. A member that
   // stopped listening keeps working until its head has no requests in progress; a member that has
   // exited shows by streams that make no progress.
   const std::string& head = aReplica.mMembers.front();
-  const bool standsStill = aReplica.mMemberLost && mView->mStandsStill(head);
+  const bool standsStill = aReplica.mMemberLost && mView->mIsStalled(head);
   const bool waited = mView->mNow - *aReplica.mLeavingSince >= mOptions.mMaxDrainTime;
   return mView->mInFlight(head) > 0 && !standsStill && !waited;
 }
 
 bool
-GroupPlanner::UnknownHeadWorks(const PlannedReplica& aReplica) const
+GroupPlanner::UnlistedHeadHasRequests(const PlannedReplica& aReplica) const
 {
-  const bool asks = aReplica.mHeadUnknown && mView->mInFlightAtFormerHead;
+  const bool asks = aReplica.mHeadUnlisted && mView->mInFlightAtFormerHead;
   return asks && mView->mNow - aReplica.mSince < mOptions.mMaxDrainTime &&
          mView->mInFlightAtFormerHead(aReplica.mName, aReplica.mEpoch) > 0;
 }
@@ -427,7 +427,7 @@
 bool
 GroupPlanner::IsFree(const EngineRecord& aEngine) const
 {
-  return !InReplica(aEngine.mId) && !IsElsewhere(aEngine, "");
+  return !InReplica(aEngine.mId) && !IsInOtherReplica(aEngine, "");
 }
 
 const GroupPlace&
@@ -438,21 +438,22 @@
 }
 
 bool
-GroupPlanner::IsElsewhere(const EngineRecord& aEngine, const std::string& aGroup) const
+GroupPlanner::IsInOtherReplica(const EngineRecord& aEngine, const std::string& aGroup) const
 {
   const std::string& group = PositionOf(aEngine).mName;
   return !group.empty() && !IsSpareGroup(group) && group != aGroup;
 }
 
 bool
-GroupPlanner::InDoubt(const std::string& aEngine, const std::string& aGroup) const
+GroupPlanner::MayJoinLate(const std::string& aEngine, const std::string& aGroup) const
 {
   // An engine that left a join unanswered may carry it out seconds later. If it were ordered
   // elsewhere meanwhile, it could enter the first replica, and the second join could then take it
   // out while that replica serves, before its registration shows the first join. Once the engine
   // answers any join, the late one is too old to be carried out.
-  const auto it = mLostJoins.find(aEngine);
-  return it != mLostJoins.end() && it->second.mGroup != aGroup && mView->mNow < it->second.mUntil;
+  const auto it = mUnansweredJoins.find(aEngine);
+  return it != mUnansweredJoins.end() && it->second.mGroup != aGroup &&
+         mView->mNow < it->second.mUntil;
 }
 
 bool
--- a/src/pepperbay/placement/group_planner_composition.cpp
+++ b/src/pepperbay/placement/group_planner_composition.cpp
@@ -121,14 +121,14 @@
 }
 
 std::size_t
-GroupPlanner::QuickMembers(const std::vector<PlannedReplica*>& aReplicas,
-                           const std::string& aModel) const
+GroupPlanner::MembersJoiningWithoutLoad(const std::vector<PlannedReplica*>& aReplicas,
+                                        const std::string& aModel) const
 {
   std::size_t n = 0;
   for (const auto* replica : aReplicas) {
     for (const auto& it : replica->mMembers) {
       const EngineRecord* engine = Find(it);
-      n += engine != nullptr && Usable(*engine) && IsQuick(*engine, aModel) ? 1 : 0;
+      n += engine != nullptr && Usable(*engine) && JoinsWithoutLoad(*engine, aModel) ? 1 : 0;
     }
   }
   return n;
@@ -169,12 +169,13 @@
   for (const auto& [inUse, replica] : candidates) {
     const bool serves = replica->mPhase == ReplicaPhase::kOpen;
     const bool kept = serves && serving <= mOptions.mComposition.mMinReplicas;
-    if (!kept && QuickMembers(donors, aTo.mName) < aTo.mSize) {
+    if (!kept && MembersJoiningWithoutLoad(donors, aTo.mName) < aTo.mSize) {
       donors.push_back(replica);
       serving -= serves ? 1 : 0;
     }
   }
-  return QuickMembers(donors, aTo.mName) < aTo.mSize ? std::vector<PlannedReplica*>{} : donors;
+  return MembersJoiningWithoutLoad(donors, aTo.mName) < aTo.mSize ? std::vector<PlannedReplica*>{}
+                                                                  : donors;
 }
 
 bool
@@ -214,7 +215,7 @@
     RebalanceOffer offer;
     offer.mDomain = domain;
     offer.mDonors = RebalanceDonors(domain, aFrom, aTo);
-    offer.mGained = QuickMembers(offer.mDonors, aTo.mName) / aTo.mSize;
+    offer.mGained = MembersJoiningWithoutLoad(offer.mDonors, aTo.mName) / aTo.mSize;
     for (const auto* it : offer.mDonors) {
       offer.mInUse += mView->mInFlight(it->mMembers.front());
     }
--- a/src/pepperbay/placement/group_planner_leaving_test.cpp
+++ b/src/pepperbay/placement/group_planner_leaving_test.cpp
@@ -250,7 +250,7 @@
   world.mSilent = { member };
   world.Run(planner, milliseconds(1500));
   world.mSilent.clear();
-  planner.Forgive(member);
+  planner.ReinstateEngine(member);
   world.Run(planner, seconds(1));
   EXPECT_EQ(JoinsOf(world, head), before);
   EXPECT_EQ(world.mPool.Serving("big"), 1U);
--- a/src/pepperbay/placement/group_planner_orders.cpp
+++ b/src/pepperbay/placement/group_planner_orders.cpp
@@ -15,7 +15,7 @@
   order.mEpoch = aReplica.mEpoch;
   order.mKind = GroupOrderKind::kOpen;
   order.mEngine = aReplica.mMembers.front();
-  Give(order);
+  QueueOrder(order);
 }
 
 void
@@ -31,20 +31,20 @@
   for (const auto& it : aReplica.mMembers) {
     if (aReplica.mReady.count(it) == 0) {
       order.mEngine = it;
-      Give(order);
+      QueueOrder(order);
     }
   }
 }
 
 void
-GroupPlanner::Drive()
+GroupPlanner::AdvanceReplicas()
 {
   std::vector<PlannedReplica*> joining;
   for (auto& [name, replica] : mReplicas) {
     if (replica.mPhase != ReplicaPhase::kForming && replica.mPhase != ReplicaPhase::kOpening) {
       continue;
     }
-    NoteReadiness(replica);
+    UpdateReadiness(replica);
     if (replica.AllReady()) {
       Open(replica); // before any joins: the number of orders per round is limited
     } else {
@@ -57,7 +57,7 @@
 }
 
 void
-GroupPlanner::NoteReadiness(PlannedReplica& aReplica)
+GroupPlanner::UpdateReadiness(PlannedReplica& aReplica)
 {
   for (const auto& it : aReplica.mMembers) {
     const EngineRecord* engine = Find(it);
@@ -73,7 +73,7 @@
 }
 
 bool
-GroupPlanner::IsDue(const std::string& aEngine, GroupOrderKind aKind) const
+GroupPlanner::IsOrderDue(const std::string& aEngine, GroupOrderKind aKind) const
 {
   if (static_cast<int>(mOrders.size()) >= mView->mMaxOrders) {
     return false;
@@ -83,16 +83,16 @@
 }
 
 bool
-GroupPlanner::Give(GroupOrder aOrder)
+GroupPlanner::QueueOrder(GroupOrder aOrder)
 {
-  if (!IsDue(aOrder.mEngine, aOrder.mKind)) {
+  if (!IsOrderDue(aOrder.mEngine, aOrder.mKind)) {
     return false;
   }
   const EngineRecord* engine = Find(aOrder.mEngine);
   if (engine == nullptr) {
     return false;
   }
-  if (aOrder.mKind == GroupOrderKind::kJoin && !(MayBringWeights(aOrder) && Guard(aOrder))) {
+  if (aOrder.mKind == GroupOrderKind::kJoin && !(MayLoadWeights(aOrder) && GuardJoin(aOrder))) {
     return false;
   }
   if (aOrder.mKind == GroupOrderKind::kLeave && !NameAccepted(aOrder)) {
@@ -110,7 +110,7 @@
 }
 
 bool
-GroupPlanner::MayBringWeights(const GroupOrder& aOrder)
+GroupPlanner::MayLoadWeights(const GroupOrder& aOrder)
 {
   // After the restart of a whole domain or more, the joins of its replicas would start one load per
   // engine at once, and the weight store would complete none of them in time. Loads are therefore
@@ -134,7 +134,7 @@
 }
 
 bool
-GroupPlanner::Guard(GroupOrder& aOrder)
+GroupPlanner::GuardJoin(GroupOrder& aOrder)
 {
   // Two holders can be active for a short time, one of them with orders in transit, and
   // registrations lag. A join decided on outdated state could take an engine out of a replica that
@@ -145,7 +145,7 @@
   if (state.IsIn(aOrder.mGroup, aOrder.mEpoch)) {
     return true;
   }
-  if (IsElsewhere(*Find(aOrder.mEngine), aOrder.mGroup)) {
+  if (IsInOtherReplica(*Find(aOrder.mEngine), aOrder.mGroup)) {
     const auto replica = mReplicas.find(aOrder.mGroup);
     if (replica != mReplicas.end()) {
       Break(replica->second, aOrder.mEngine + " is in another replica", mView->mNow);
@@ -173,7 +173,9 @@
   if (!IsNewestIncarnation(aOrder.mEngine, aOrder.mBorn)) {
     // Only possible later effects matter: a join without an answer may reach the new incarnation.
     if (unknown && aOrder.mKind == GroupOrderKind::kJoin) {
-      mLostJoins[aOrder.mEngine] = { aOrder.mGroup, aOrder.mEpoch, aNow + mOptions.mLateOrder };
+      mUnansweredJoins[aOrder.mEngine] = { aOrder.mGroup,
+                                           aOrder.mEpoch,
+                                           aNow + mOptions.mLateOrder };
     }
     return;
   }
@@ -187,7 +189,9 @@
   if (unknown) {
     pending.mDue = aNow; // repeat at once: the order may or may not have taken effect
     if (aOrder.mKind == GroupOrderKind::kJoin && !IsSpareGroup(aOrder.mGroup)) {
-      mLostJoins[aOrder.mEngine] = { aOrder.mGroup, aOrder.mEpoch, aNow + mOptions.mLateOrder };
+      mUnansweredJoins[aOrder.mEngine] = { aOrder.mGroup,
+                                           aOrder.mEpoch,
+                                           aNow + mOptions.mLateOrder };
     }
     if (aAnswer == OrderAnswer::kNone && ++pending.mUnanswered >= mOptions.mMaxUnanswered) {
       mUnanswering.insert(aOrder.mEngine);
@@ -200,7 +204,7 @@
   const auto replica = mReplicas.find(aOrder.mGroup);
   const bool current = replica != mReplicas.end() && replica->second.mEpoch == aOrder.mEpoch;
   if (aAnswer == OrderAnswer::kOtherEngine) {
-    mGone.insert(aOrder.mEngine);
+    mSupersededEngines.insert(aOrder.mEngine);
     return;
   }
   if (aAnswer == OrderAnswer::kStale && current) {
@@ -215,9 +219,9 @@
   if (aOrder.mKind == GroupOrderKind::kJoin) {
     const bool holds = aAnswer == OrderAnswer::kHolds;
     if (aAnswer == OrderAnswer::kBegun || holds) {
-      const auto lost = mLostJoins.find(aOrder.mEngine);
-      if (lost != mLostJoins.end() && lost->second.mEpoch <= aOrder.mEpoch) {
-        mLostJoins.erase(lost);
+      const auto lost = mUnansweredJoins.find(aOrder.mEngine);
+      if (lost != mUnansweredJoins.end() && lost->second.mEpoch <= aOrder.mEpoch) {
+        mUnansweredJoins.erase(lost);
       }
     }
     if (holds) {
@@ -272,13 +276,13 @@
       it->second.HasMember(aEngine)) {
     it->second.mReady.insert(aEngine);
   }
-  BreakIfElsewhere(aEngine, place, aNow);
+  BreakIfInOtherGroup(aEngine, place, aNow);
 }
 
 void
-GroupPlanner::BreakIfElsewhere(const std::string& aEngine,
-                               const GroupPlace& aPosition,
-                               TimePoint aNow)
+GroupPlanner::BreakIfInOtherGroup(const std::string& aEngine,
+                                  const GroupPlace& aPosition,
+                                  TimePoint aNow)
 {
   // A member that has restarted, or that another holder has ordered away, still answers but no
   // longer works in the replica. The head makes no progress although every member seems to be
@@ -298,7 +302,7 @@
 }
 
 void
-GroupPlanner::Forgive(const std::string& aEngine)
+GroupPlanner::ReinstateEngine(const std::string& aEngine)
 {
   mUnanswering.erase(aEngine);
 }
--- a/src/pepperbay/placement/group_planner_repair.cpp
+++ b/src/pepperbay/placement/group_planner_repair.cpp
@@ -17,7 +17,7 @@
       done.push_back(name);
       continue;
     }
-    if (replica.mPhase == ReplicaPhase::kBroken && UnknownHeadWorks(replica)) {
+    if (replica.mPhase == ReplicaPhase::kBroken && UnlistedHeadHasRequests(replica)) {
       replica.mNotBefore = mView->mNow + mOptions.mHeadCheckInterval;
     }
     if (replica.mPhase != ReplicaPhase::kBroken || mView->mNow < replica.mNotBefore) {
@@ -53,7 +53,7 @@
 }
 
 bool
-GroupPlanner::IsQuick(const EngineRecord& aEngine, const std::string& aModel) const
+GroupPlanner::JoinsWithoutLoad(const EngineRecord& aEngine, const std::string& aModel) const
 {
   const ModelSpec* model = mView->mPool->FindModel(aModel);
   // A pool may configure no time for joining with the weights on the host, or one below
@@ -94,7 +94,7 @@
   for (const auto* it : free) {
     // An engine that has to load weights would keep the other members waiting meanwhile. It loads
     // as a spare instead and then joins whichever replica needs it.
-    const bool takes = WaitsForLoads() || IsQuick(*it, aReplica.mModel);
+    const bool takes = WaitsForLoads() || JoinsWithoutLoad(*it, aReplica.mModel);
     if (members.size() < model->mSize && takes) {
       members.push_back(it->mId);
     }
@@ -138,7 +138,7 @@
   aReplica.mSince = mView->mNow;
   aReplica.mLeavingSince.reset();
   aReplica.mMemberLost = false;
-  aReplica.mHeadUnknown = false;
+  aReplica.mHeadUnlisted = false;
   mPending.erase(aReplica.mMembers.front() + " open");
 }
 
@@ -159,7 +159,7 @@
   // whichever replica breaks next.
   const auto free = FreeEngines(aDomain, aModel.mName, "");
   const auto quick = std::count_if(free.begin(), free.end(), [&](const EngineRecord* aEngine) {
-    return IsQuick(*aEngine, aModel.mName);
+    return JoinsWithoutLoad(*aEngine, aModel.mName);
   });
   return static_cast<std::size_t>(quick) >= aModel.mSize;
 }
@@ -185,7 +185,7 @@
     for (const auto* it : engines) {
       if (Usable(*it)) {
         ++domain.mAll;
-        domain.mFree += IsFree(*it) && !InDoubt(it->mId, "") ? 1 : 0;
+        domain.mFree += IsFree(*it) && !MayJoinLate(it->mId, "") ? 1 : 0;
       }
     }
     all += domain.mAll;
@@ -244,8 +244,8 @@
   mEnginesExamined += domain->second.size();
   for (const auto* engine : domain->second) {
     const std::string& id = engine->mId;
-    const bool free = IsFree(*engine) || (!InReplica(id) && !IsElsewhere(*engine, aGroup));
-    if (Usable(*engine) && free && !InDoubt(id, aGroup)) {
+    const bool free = IsFree(*engine) || (!InReplica(id) && !IsInOtherReplica(*engine, aGroup));
+    if (Usable(*engine) && free && !MayJoinLate(id, aGroup)) {
       ranked.emplace_back(JoinTime(*engine, aModel), engine);
     }
   }
--- a/src/pepperbay/placement/group_planner_spares.cpp
+++ b/src/pepperbay/placement/group_planner_spares.cpp
@@ -6,7 +6,7 @@
 namespace pepperbay {
 
 void
-GroupPlanner::CareForSpares()
+GroupPlanner::MaintainSpares()
 {
   std::map<std::string, std::map<std::string, int>> standby; // number of spares by domain and model
   std::vector<const EngineRecord*> idle;
@@ -44,7 +44,7 @@
     }
     ++standby[it->mDomain][model];
     if (!it->HasStaged(model)) {
-      if (!IsDue(it->mId, GroupOrderKind::kStage) || !MayLoad()) {
+      if (!IsOrderDue(it->mId, GroupOrderKind::kStage) || !MayLoad()) {
         continue;
       }
       GroupOrder order;
@@ -52,7 +52,7 @@
       order.mFence = mView->mFence;
       order.mEngine = it->mId;
       order.mModel = model;
-      if (Give(order)) {
+      if (QueueOrder(order)) {
         mStaging[it->mId] = { model, mView->mNow };
       }
       continue;
@@ -76,7 +76,8 @@
     if (forAll && spare.mReady && IsFree(*Find(it->first)) && Usable(it->first)) {
       StageOther(*Find(it->first), spare.mModel);
     }
-    if (!spare.mReady && Usable(it->first) && IsFree(*Find(it->first)) && !InDoubt(it->first, "")) {
+    if (!spare.mReady && Usable(it->first) && IsFree(*Find(it->first)) &&
+        !MayJoinLate(it->first, "")) {
       GroupOrder order;
       order.mKind = GroupOrderKind::kJoin;
       order.mFence = mView->mFence;
@@ -85,7 +86,7 @@
       order.mEpoch = spare.mEpoch;
       order.mModel = spare.mModel;
       order.mMembers = { it->first };
-      Give(order);
+      QueueOrder(order);
     }
     ++it;
   }
@@ -139,7 +140,7 @@
     if (it.mName == aModel || aEngine.HasStaged(it.mName) || mStaging.count(aEngine.mId) != 0) {
       continue;
     }
-    if (!IsDue(aEngine.mId, GroupOrderKind::kStage) || !MayLoad()) {
+    if (!IsOrderDue(aEngine.mId, GroupOrderKind::kStage) || !MayLoad()) {
       return;
     }
     GroupOrder order;
@@ -147,7 +148,7 @@
     order.mFence = mView->mFence;
     order.mEngine = aEngine.mId;
     order.mModel = it.mName;
-    if (Give(order)) {
+    if (QueueOrder(order)) {
       mStaging[aEngine.mId] = { it.mName, mView->mNow };
     }
     return;
@@ -161,7 +162,7 @@
   // another replica.
   const auto& names = mReplicasOf.at(aEngine.mId);
   return std::all_of(names.begin(), names.end(), [&](const std::string& aName) {
-    return mReplicas.at(aName).mPhase == ReplicaPhase::kBroken && IsElsewhere(aEngine, aName);
+    return mReplicas.at(aName).mPhase == ReplicaPhase::kBroken && IsInOtherReplica(aEngine, aName);
   });
 }
 
@@ -177,7 +178,7 @@
   order.mEngine = aEngine.mId;
   order.mGroup = PositionOf(aEngine).mName;
   order.mEpoch = PositionOf(aEngine).mEpoch;
-  Give(order);
+  QueueOrder(order);
 }
 
 std::string
--- a/src/pepperbay/placement/group_planner_starts.cpp
+++ b/src/pepperbay/placement/group_planner_starts.cpp
@@ -40,7 +40,7 @@
       ForgetIncarnation(it->first, now);
       mStates.erase(it->first);
       mAssumedNew.erase(it->first);
-      mLostJoins.erase(it->first);
+      mUnansweredJoins.erase(it->first);
     }
     it = gone ? mEngineIncarnations.erase(it) : std::next(it);
   }
@@ -72,7 +72,7 @@
   mAnsweredAt.erase(aEngine);
   mLoadCounted.erase(aEngine);
   mUnanswering.erase(aEngine);
-  mGone.erase(aEngine);
+  mSupersededEngines.erase(aEngine);
   for (const auto kind : kOrderKinds) {
     mPending.erase(aEngine + " " + ToString(kind));
   }
@@ -80,7 +80,7 @@
   // queried.
   mStates[aEngine] = EngineState::JustStarted();
   mAssumedNew.insert(aEngine);
-  // mLostJoins is kept: a late order to the previous incarnation is carried out by this one.
+  // mUnansweredJoins is kept: a late order to the previous incarnation is carried out by this one.
   const auto names = mReplicasOf.find(aEngine);
   if (names == mReplicasOf.end()) {
     return;
--- a/src/pepperbay/placement/group_planner_survivors.cpp
+++ b/src/pepperbay/placement/group_planner_survivors.cpp
@@ -12,7 +12,7 @@
   for (const auto& it : aReplica.mMembers) {
     const bool here = Usable(it) && aReplica.mRestarted.count(it) == 0 &&
                       !InOtherReplica(it, aReplica.mName) &&
-                      !IsElsewhere(*Find(it), aReplica.mName);
+                      !IsInOtherReplica(*Find(it), aReplica.mName);
     if (here) {
       survivors.push_back(it);
     }
@@ -73,7 +73,7 @@
     }
     const auto free = FreeEngines(target->mDomain, target->mModel, target->mName);
     const auto quick = std::count_if(free.begin(), free.end(), [&](const EngineRecord* aEngine) {
-      return IsQuick(*aEngine, target->mModel);
+      return JoinsWithoutLoad(*aEngine, target->mModel);
     });
     const auto missing = [size](std::size_t aHave) { return size - std::min(size, aHave); };
     const PlannedReplica* donor = SmallestDonor(
@@ -108,7 +108,7 @@
     const auto survivors = Survivors(*donor);
     const auto gives = static_cast<std::size_t>(
       std::count_if(survivors.begin(), survivors.end(), [&](const std::string& aEngine) {
-        return aReady == Ready::kAfterLoads || IsQuick(*Find(aEngine), aTarget.mModel);
+        return aReady == Ready::kAfterLoads || JoinsWithoutLoad(*Find(aEngine), aTarget.mModel);
       }));
     if (gives >= aMissing && (best == nullptr || survivors.size() < bestSize)) {
       best = donor;
@@ -138,11 +138,11 @@
 }
 
 std::size_t
-GroupPlanner::LacksReady(const PlannedReplica& aReplica) const
+GroupPlanner::MissingReady(const PlannedReplica& aReplica) const
 {
   const auto free = FreeEngines(aReplica.mDomain, aReplica.mModel, aReplica.mName);
   const auto ready = std::count_if(free.begin(), free.end(), [&](const EngineRecord* aEngine) {
-    return IsQuick(*aEngine, aReplica.mModel);
+    return JoinsWithoutLoad(*aEngine, aReplica.mModel);
   });
   const std::size_t missing = MissingMembers(aReplica);
   return missing - std::min(missing, static_cast<std::size_t>(ready));
@@ -152,7 +152,7 @@
 GroupPlanner::ServingDonors(const PlannedReplica& aTarget)
 {
   const std::size_t survivors = Survivors(aTarget).size();
-  const std::size_t lacks = LacksReady(aTarget);
+  const std::size_t lacks = MissingReady(aTarget);
   if (lacks == 0) {
     return {};
   }
@@ -176,7 +176,7 @@
     const auto ready =
       std::count_if(replica.mMembers.begin(), replica.mMembers.end(), [&](const std::string& aId) {
         const EngineRecord* engine = Find(aId);
-        return engine != nullptr && IsQuick(*engine, aTarget.mModel);
+        return engine != nullptr && JoinsWithoutLoad(*engine, aTarget.mModel);
       });
     candidates.push_back(
       { &replica, static_cast<std::size_t>(ready), mView->mInFlight(replica.mMembers.front()) });
--- a/src/pepperbay/placement/group_planner_test.cpp
+++ b/src/pepperbay/placement/group_planner_test.cpp
@@ -278,7 +278,7 @@
   EXPECT_EQ(world.mPool.Serving("big"), 1U);
   for (int i = 0; i < 20; ++i) {
     planner.OnReport(gone, world.mPool.Report(gone), world.Now());
-    planner.Forgive(gone);
+    planner.ReinstateEngine(gone);
     world.Run(planner, milliseconds(250));
   }
   EXPECT_LE(refused, 2);
--- a/src/pepperbay/placement/group_planner_world.hpp
+++ b/src/pepperbay/placement/group_planner_world.hpp
@@ -80,10 +80,10 @@
     view.mFence = aFence;
     view.mTraffic = mTraffic;
     view.mMaxOrders = mMaxOrders;
-    view.mDead = [this](const std::string& aEngine) {
+    view.mIsUnreachable = [this](const std::string& aEngine) {
       return mFound.count(aEngine) != 0 || mSilent.count(aEngine) != 0;
     };
-    view.mEnded = [this](const std::string& aEngine) { return mFound.count(aEngine) != 0; };
+    view.mHasExited = [this](const std::string& aEngine) { return mFound.count(aEngine) != 0; };
     view.mInFlight = [this, &aPlanner](const std::string& aHead) {
       if (mStreamsLast && TakesNoneSince(aPlanner, aHead) >= *mStreamsLast) {
         return 0;
@@ -96,12 +96,12 @@
       return limit == mLimits.end() ? std::nullopt : std::optional<double>(limit->second);
     };
     view.mInFlightAtFormerHead = [this](const std::string&, std::uint64_t) { return mInFlight; };
-    view.mStandsStill = [this](const std::string& aHead) { return StandsStill(aHead); };
+    view.mIsStalled = [this](const std::string& aHead) { return StandsStill(aHead); };
     if (++mRounds % 35 == 0) { // about every 700 ms engines with unanswered orders are queried
       const auto unanswering = aPlanner.Unanswering();
       for (const auto& it : unanswering) {
         if (mPool.At(it).mAlive) {
-          aPlanner.Forgive(it);
+          aPlanner.ReinstateEngine(it);
         }
       }
     }
--- a/src/pepperbay/placement/planner.cpp
+++ b/src/pepperbay/placement/planner.cpp
@@ -30,7 +30,7 @@
 
   PlanOutcome Run()
   {
-    NoteFailedVersions();
+    DetectFailedVersions();
     StopAndRelease();
     Repair();
     Roll();
@@ -70,7 +70,7 @@
 
   /// A host that cannot load the published version stops the roll for all replicas: the next
   /// replica would fail in the same way.
-  void NoteFailedVersions()
+  void DetectFailedVersions()
   {
     for (const auto& it : mReplicas) {
       const auto profile = mProfiles.find(it.Assigned().profile());
