--- a/src/pepperbay/placement/group_planner_composition_test.cpp
+++ b/src/pepperbay/placement/group_planner_composition_test.cpp
@@ -23,9 +23,9 @@
 constexpr std::size_t kPerDomain = 18;
 
 /// A pool whose hosts have staged all their weights, under load from callers.
-struct TurningWorld : World
+struct ChangingDemandWorld : World
 {
-  TurningWorld()
+  ChangingDemandWorld()
     : World(kDomains, kPerDomain, PairsAndEights())
   {
     Run(mPlanner, kAllStaged, 1, milliseconds(100));
@@ -34,9 +34,12 @@
   }
 
   /// Sets the requests in progress of each model, spread evenly over its serving replicas.
-  void Ask(int aBig, int aSmall, Duration aFor) { Ask(mPlanner, 1, aBig, aSmall, aFor); }
+  void SetDemand(int aBig, int aSmall, Duration aFor)
+  {
+    SetDemand(mPlanner, 1, aBig, aSmall, aFor);
+  }
 
-  void Ask(GroupPlanner& aPlanner, std::uint64_t aFence, int aBig, int aSmall, Duration aFor)
+  void SetDemand(GroupPlanner& aPlanner, std::uint64_t aFence, int aBig, int aSmall, Duration aFor)
   {
     const auto share = [this](int aAll, const char* aModel) {
       return aAll / std::max(1, static_cast<int>(mPool.Serving(aModel)));
@@ -54,11 +57,11 @@
 /// waiting while engines of the other are idle.
 TEST(GroupPlannerComposition, BurstOfTheSmallerModelIsServedByEnginesOfTheLarger)
 {
-  TurningWorld world;
+  ChangingDemandWorld world;
   ASSERT_EQ(world.mPool.Serving("big"), 5U);
   ASSERT_EQ(world.mPool.Serving("small"), 20U);
   const std::size_t loads = world.mPool.Loads().size();
-  world.Ask(15, 440, seconds(6));
+  world.SetDemand(15, 440, seconds(6));
   EXPECT_LE(world.mPool.Serving("big"), 4U);
   EXPECT_GE(world.mPool.Serving("small"), 24U);
   EXPECT_GE(world.mPool.Serving("big"), 2U) << "the minimum of replicas per model";
@@ -70,11 +73,11 @@
 /// burst.
 TEST(GroupPlannerComposition, EnginesComeBackWhenTheMixTurnsBack)
 {
-  TurningWorld world;
-  world.Ask(15, 440, seconds(30));
+  ChangingDemandWorld world;
+  world.SetDemand(15, 440, seconds(30));
   const std::size_t big = world.mPool.Serving("big");
   ASSERT_LT(big, 5U);
-  world.Ask(120, 80, seconds(30));
+  world.SetDemand(120, 80, seconds(30));
   EXPECT_GT(world.mPool.Serving("big"), big);
   EXPECT_GE(world.mPool.Serving("small"), 8U);
   EXPECT_TRUE(world.mPool.Violations().empty()) << world.mPool.Violations().front();
@@ -83,10 +86,10 @@
 /// Constant demand. Guards against replicas that are given up and re-formed endlessly.
 TEST(GroupPlannerComposition, SteadyDemandMovesNothingAfterAWhile)
 {
-  TurningWorld world;
-  world.Ask(15, 340, seconds(20));
+  ChangingDemandWorld world;
+  world.SetDemand(15, 340, seconds(20));
   world.mPlanner.TakeChanges();
-  world.Ask(15, 340, seconds(60));
+  world.SetDemand(15, 340, seconds(60));
   EXPECT_TRUE(world.mPlanner.TakeChanges().empty());
 }
 
@@ -94,10 +97,10 @@
 /// streams have completed.
 TEST(GroupPlannerComposition, AReplicaThatIsGivenUpEndsItsStreamsFirst)
 {
-  TurningWorld world;
+  ChangingDemandWorld world;
   world.mStreamsLast = seconds(3);
   world.mGiven.clear();
-  world.Ask(15, 440, milliseconds(2500));
+  world.SetDemand(15, 440, milliseconds(2500));
   EXPECT_FALSE(world.mPlanner.TakeChanges().empty());
   EXPECT_EQ(world.mGiven[GroupOrderKind::kLeave], 0);
   EXPECT_EQ(world.mPool.Serving("big"), 5U);
@@ -107,11 +110,11 @@
 /// that waits for engines which still serve it.
 TEST(GroupPlannerComposition, ReplicasThatStillServeAreTakenBack)
 {
-  TurningWorld world;
+  ChangingDemandWorld world;
   world.mStreamsLast = seconds(7);
-  world.Ask(15, 440, seconds(2));
+  world.SetDemand(15, 440, seconds(2));
   ASSERT_FALSE(world.mPlanner.TakeChanges().empty());
-  world.Ask(120, 60, seconds(4));
+  world.SetDemand(120, 60, seconds(4));
   for (const auto& [name, replica] : world.mPlanner.Replicas()) {
     EXPECT_FALSE(replica.mModel == "big" && replica.mGivenUp) << name;
   }
@@ -124,7 +127,7 @@
   EnginePool pool = PairsAndEights();
   pool.mStepTime = milliseconds(8);
   pool.mUsualAnswer = 150;
-  TurningWorld world;
+  ChangingDemandWorld world;
   world.mPool.SetPool(pool);
   int limited = 0;
   for (const auto& [name, replica] : world.mPlanner.Replicas()) {
@@ -133,20 +136,20 @@
       ++limited;
     }
   }
-  world.Ask(15, 440, seconds(6));
+  world.SetDemand(15, 440, seconds(6));
   EXPECT_EQ(world.mPool.Serving("big"), 5U);
   world.mLimits.clear();
-  world.Ask(15, 440, seconds(6));
+  world.SetDemand(15, 440, seconds(6));
   EXPECT_LT(world.mPool.Serving("big"), 5U) << "same result as without limits";
 }
 
 /// Guards against a new holder of the lease that reverses the changes of the previous one.
 TEST(GroupPlannerComposition, ANewHolderGoesOnFromWhatStands)
 {
-  TurningWorld world;
-  world.Ask(15, 440, seconds(2));
+  ChangingDemandWorld world;
+  world.SetDemand(15, 440, seconds(2));
   GroupPlanner next;
-  world.Ask(next, 2, 15, 440, seconds(20));
+  world.SetDemand(next, 2, 15, 440, seconds(20));
   EXPECT_GE(world.mPool.Serving("small"), 24U);
   EXPECT_GE(world.mPool.Serving("big"), 2U);
   EXPECT_TRUE(world.mPool.Violations().empty()) << world.mPool.Violations().front();
@@ -156,11 +159,11 @@
 /// engines left unused.
 TEST(GroupPlannerComposition, LossesDuringAChangeAreRepaired)
 {
-  TurningWorld world;
-  world.Ask(15, 440, milliseconds(1500));
+  ChangingDemandWorld world;
+  world.SetDemand(15, 440, milliseconds(1500));
   world.Kill(world.MemberOf(world.mPlanner, "small", 1));
   world.Kill(world.MemberOf(world.mPlanner, "big", 3));
-  world.Ask(15, 440, seconds(20));
+  world.SetDemand(15, 440, seconds(20));
   std::size_t serving = 8 * world.mPool.Serving("big") + 2 * world.mPool.Serving("small");
   EXPECT_GE(serving, kDomains * kPerDomain - 2 * kDomains - 10);
   EXPECT_TRUE(world.mPool.Violations().empty()) << world.mPool.Violations().front();
--- a/src/pepperbay/placement/group_planner_places_test.cpp
+++ b/src/pepperbay/placement/group_planner_places_test.cpp
@@ -104,9 +104,9 @@
   World world(1);
   GroupPlanner planner;
   std::set<std::string> lost;
-  world.mFate = [&lost](const GroupOrder& aOrder) {
+  world.mDeliveryOf = [&lost](const GroupOrder& aOrder) {
     const bool first = aOrder.mKind == GroupOrderKind::kStage && lost.insert(aOrder.mEngine).second;
-    return first ? Fate::kLost : Fate::kArrives;
+    return first ? OrderDelivery::kLost : OrderDelivery::kArrives;
   };
   world.Run(planner, kAllStaged, 1, milliseconds(100));
   EXPECT_EQ(SparesOf(world).size(), 2U);
--- a/src/pepperbay/placement/group_planner_starts_test.cpp
+++ b/src/pepperbay/placement/group_planner_starts_test.cpp
@@ -85,10 +85,10 @@
   const std::string out = world.MemberOf(first, "small", 2);
   GroupPlanner second;
   world.Run(second, seconds(1), 7);
-  world.mFound.insert(out);
+  world.mDetectedLost.insert(out);
   world.Run(second, seconds(3), 7);
   ASSERT_EQ(world.mPool.Serving("small"), 1U);
-  world.mFound.erase(out);
+  world.mDetectedLost.erase(out);
   world.Run(second, seconds(3), 7);
   world.Round(first, 1); // sees the effect of the second holder
   world.mPool.Restart(out, WallTime(seconds(100)));
@@ -116,12 +116,12 @@
   world.Run(planner, seconds(1));
   world.mPool.Engines().erase(spare);
   world.Run(planner, seconds(40));
-  world.mFound.erase(spare);
+  world.mDetectedLost.erase(spare);
   world.mPool.Add(spare, "d0"); // an empty engine; its counts restart at zero
   int refused = 0;
-  world.mFate = [&](const GroupOrder& aOrder) {
+  world.mDeliveryOf = [&](const GroupOrder& aOrder) {
     refused += aOrder.mAccepted.value_or(0) != 0 && aOrder.mEngine == spare ? 1 : 0;
-    return Fate::kArrives;
+    return OrderDelivery::kArrives;
   };
   world.Run(planner, milliseconds(500));
   EXPECT_EQ(refused, 0);
--- a/src/pepperbay/placement/group_planner_survivors_test.cpp
+++ b/src/pepperbay/placement/group_planner_survivors_test.cpp
@@ -164,13 +164,13 @@
   const std::string member = world.MemberOf(planner, "small", 1);
   const auto spares = SparesOf(world);
   for (const auto& it : spares) {
-    world.mFound.insert(it); // unreachable for a while
+    world.mDetectedLost.insert(it); // unreachable for a while
   }
   world.Kill(member);
   world.mPool.Add("empty", "d0");
   world.Run(planner, seconds(3));
   EXPECT_EQ(world.mPool.Serving("small"), 0U);
-  world.mFound.erase(spares.front());
+  world.mDetectedLost.erase(spares.front());
   world.Run(planner, milliseconds(2500));
   EXPECT_EQ(world.mPool.Serving("small"), 1U);
   EXPECT_TRUE(world.mPool.Violations().empty());
--- a/src/pepperbay/placement/group_planner_test.cpp
+++ b/src/pepperbay/placement/group_planner_test.cpp
@@ -92,10 +92,10 @@
   GroupPlanner planner;
   world.Run(planner, seconds(40));
   const std::string lost = world.MemberOf(planner, "big", 3);
-  world.mFound.insert(lost); // alive but unreachable
+  world.mDetectedLost.insert(lost); // alive but unreachable
   world.Run(planner, seconds(2));
   EXPECT_EQ(world.mPool.Serving("big"), 1U);
-  world.mFound.erase(lost);
+  world.mDetectedLost.erase(lost);
   world.Run(planner, seconds(20));
   EXPECT_TRUE(world.mPool.Violations().empty()) << world.mPool.Violations().front();
   EXPECT_GE(world.mGiven[GroupOrderKind::kLeave], 1);
@@ -111,7 +111,7 @@
   GroupPlanner planner;
   world.Run(planner, seconds(40));
   const std::string back = world.MemberOf(planner, "big", 3);
-  world.mFound.insert(back); // alive but unreachable
+  world.mDetectedLost.insert(back); // alive but unreachable
   world.Run(planner, seconds(2));
   for (const auto& [id, engine] : world.mPool.Engines()) {
     if (engine.mRecord.mGroup.mName.rfind("spare-", 0) == 0) {
@@ -120,13 +120,13 @@
   }
   world.Kill(world.MemberOf(planner, "small", 1));
   world.Run(planner, milliseconds(200));
-  world.mFound.erase(back);
+  world.mDetectedLost.erase(back);
   world.mGiven.clear();
   int joins = 0;
-  world.mFate = [&](const GroupOrder& aOrder) {
+  world.mDeliveryOf = [&](const GroupOrder& aOrder) {
     const bool first =
       aOrder.mKind == GroupOrderKind::kJoin && aOrder.mEngine == back && joins++ == 0;
-    return first ? Fate::kLost : Fate::kArrives;
+    return first ? OrderDelivery::kLost : OrderDelivery::kArrives;
   };
   world.Run(planner, seconds(20));
   EXPECT_EQ(world.mPool.Serving("small"), 1U);
@@ -213,7 +213,9 @@
   World world(1);
   GroupPlanner planner;
   int n = 0;
-  world.mFate = [&n](const GroupOrder&) { return ++n % 3 == 0 ? Fate::kLost : Fate::kArrives; };
+  world.mDeliveryOf = [&n](const GroupOrder&) {
+    return ++n % 3 == 0 ? OrderDelivery::kLost : OrderDelivery::kArrives;
+  };
   world.Run(planner, seconds(60));
   EXPECT_EQ(world.mPool.Serving("big"), 1U);
   EXPECT_EQ(world.mPool.Serving("small"), 1U);
@@ -239,8 +241,8 @@
   World world(1);
   GroupPlanner planner;
   const TimePoint late = world.Now() + seconds(5);
-  world.mFate = [&](const GroupOrder&) {
-    return world.Now() < late ? Fate::kUnread : Fate::kArrives;
+  world.mDeliveryOf = [&](const GroupOrder&) {
+    return world.Now() < late ? OrderDelivery::kUnread : OrderDelivery::kArrives;
   };
   while (world.Now() < late) {
     world.Run(planner, milliseconds(100));
@@ -268,9 +270,9 @@
   world.mPool.At(gone).mReborn = true;
   world.mGiven.clear();
   int refused = 0;
-  world.mFate = [&](const GroupOrder& aOrder) {
+  world.mDeliveryOf = [&](const GroupOrder& aOrder) {
     refused += aOrder.mEngine == gone ? 1 : 0;
-    return Fate::kArrives;
+    return OrderDelivery::kArrives;
   };
   // The head's streams make no progress, and its members are queried.
   planner.OnReport(gone, world.mPool.Report(gone), world.Now());
@@ -285,7 +287,7 @@
   EXPECT_TRUE(world.mPool.Violations().empty());
 }
 
-enum class Trouble
+enum class InjectedFault
 {
   kNone,
   kDies,
@@ -314,68 +316,68 @@
 }
 
 /// Random faults in the two domains of a world, one per step, and the holders that plan it.
-struct Troubles
+struct FaultSequence
 {
   static constexpr std::size_t kPerDomain = 11;
   static constexpr std::size_t kMaxHolders = 4;
 
-  Troubles() { mHolders.push_back(std::make_unique<GroupPlanner>()); }
+  FaultSequence() { mHolders.push_back(std::make_unique<GroupPlanner>()); }
 
   void Draw(int aStep)
   {
     const auto d = *rc::gen::inRange<std::size_t>(0, 2);
     const std::string engine = World::Name(d, *rc::gen::inRange<std::size_t>(0, kPerDomain));
-    switch (*rc::gen::weightedElement<Trouble>({ { 8, Trouble::kNone },
-                                                 { 4, Trouble::kDies },
-                                                 { 2, Trouble::kSeemsLost },
-                                                 { 2, Trouble::kPauses },
-                                                 { 2, Trouble::kIsFound },
-                                                 { 2, Trouble::kLeaves },
-                                                 { 2, Trouble::kComes },
-                                                 { 1, Trouble::kHolder },
-                                                 { 1, Trouble::kUnlisted },
-                                                 { 2, Trouble::kRestarts },
-                                                 { 4, Trouble::kCutOff },
-                                                 { 1, Trouble::kRegistersAnew } })) {
-      case Trouble::kNone:
+    switch (*rc::gen::weightedElement<InjectedFault>({ { 8, InjectedFault::kNone },
+                                                       { 4, InjectedFault::kDies },
+                                                       { 2, InjectedFault::kSeemsLost },
+                                                       { 2, InjectedFault::kPauses },
+                                                       { 2, InjectedFault::kIsFound },
+                                                       { 2, InjectedFault::kLeaves },
+                                                       { 2, InjectedFault::kComes },
+                                                       { 1, InjectedFault::kHolder },
+                                                       { 1, InjectedFault::kUnlisted },
+                                                       { 2, InjectedFault::kRestarts },
+                                                       { 4, InjectedFault::kCutOff },
+                                                       { 1, InjectedFault::kRegistersAnew } })) {
+      case InjectedFault::kNone:
         break;
-      case Trouble::kDies:
+      case InjectedFault::kDies:
         mWorld.Kill(engine);
         break;
-      case Trouble::kSeemsLost:
-        mWorld.mFound.insert(engine);
+      case InjectedFault::kSeemsLost:
+        mWorld.mDetectedLost.insert(engine);
         break;
-      case Trouble::kPauses:
+      case InjectedFault::kPauses:
         mWorld.mSilent.insert(engine);
         break;
-      case Trouble::kIsFound:
+      case InjectedFault::kIsFound:
         mWorld.mSilent.erase(engine);
         if (mWorld.mPool.At(engine).mAlive) {
-          mWorld.mFound.erase(engine);
+          mWorld.mDetectedLost.erase(engine);
         }
         break;
-      case Trouble::kLeaves:
+      case InjectedFault::kLeaves:
         mWorld.mPool.At(engine).mRecord.mLeaving = true;
         break;
-      case Trouble::kComes:
+      case InjectedFault::kComes:
         mWorld.mPool.Add("n" + std::to_string(mAdded++), "d" + std::to_string(d));
         break;
-      case Trouble::kHolder:
+      case InjectedFault::kHolder:
         if (mHolders.size() < kMaxHolders) {
           mHolders.push_back(std::make_unique<GroupPlanner>());
         }
         break;
-      case Trouble::kUnlisted:
+      case InjectedFault::kUnlisted:
         mWorld.mPool.At(engine).mListed = !mWorld.mPool.At(engine).mListed;
         break;
-      case Trouble::kRestarts:
+      case InjectedFault::kRestarts:
         mWorld.mPool.Restart(engine, WallTime(seconds(100 + aStep)));
-        mWorld.mFound.erase(engine);
+        mWorld.mDetectedLost.erase(engine);
         break;
-      case Trouble::kCutOff:
+      case InjectedFault::kCutOff:
         CutOffReplicaOf(engine);
         break;
-      case Trouble::kRegistersAnew:
+      case InjectedFault::kRegistersAnew:
         mWorld.mCutOff.clear();
         break;
     }
@@ -411,7 +413,7 @@
   /// Ends all faults and adds as many new engines to each domain as it had.
   void End()
   {
-    mWorld.mFate = nullptr;
+    mWorld.mDeliveryOf = nullptr;
     mWorld.mCutOff.clear();
     mWorld.mSilent.clear();
     for (std::size_t d = 0; d < 2; ++d) {
@@ -433,18 +435,18 @@
 /// replica that it has not left serves. Once the faults end, every replica is restored.
 RC_GTEST_PROP(GroupPlanner, NeverServesPartOrTwice, ())
 {
-  Troubles troubles;
+  FaultSequence troubles;
   World& world = troubles.mWorld;
   constexpr milliseconds kCoarse{ 100 };
   world.Run(*troubles.mHolders.front(), seconds(30), 1, kCoarse);
   world.mTraffic = true;
-  world.mFate = [](const GroupOrder&) {
-    return *rc::gen::weightedElement<Fate>({ { 8, Fate::kArrives },
-                                             { 1, Fate::kLost },
-                                             { 1, Fate::kAnswerLost },
-                                             { 1, Fate::kLate },
-                                             { 1, Fate::kSlow },
-                                             { 1, Fate::kAnswerSlow } });
+  world.mDeliveryOf = [](const GroupOrder&) {
+    return *rc::gen::weightedElement<OrderDelivery>({ { 8, OrderDelivery::kArrives },
+                                                      { 1, OrderDelivery::kLost },
+                                                      { 1, OrderDelivery::kAnswerLost },
+                                                      { 1, OrderDelivery::kLate },
+                                                      { 1, OrderDelivery::kSlow },
+                                                      { 1, OrderDelivery::kAnswerSlow } });
   };
   const auto steps = *rc::gen::inRange(20, 120);
   for (int i = 0; i < steps; ++i) {
--- a/src/pepperbay/placement/group_planner_world.hpp
+++ b/src/pepperbay/placement/group_planner_world.hpp
@@ -27,7 +27,7 @@
 }
 
 /// What happens to one order in transit; chosen by the tests.
-enum class Fate
+enum class OrderDelivery
 {
   kArrives,
   kLost,       ///< before it took effect
@@ -69,7 +69,7 @@
       mLag.pop_front();
     }
     if (mReports.empty() || mReports.back().first != Now()) {
-      KeepReports();
+      RecordReports();
     }
     const EngineMap& listed = mLag.front().second;
     GroupView view;
@@ -81,11 +81,13 @@
     view.mTraffic = mTraffic;
     view.mMaxOrders = mMaxOrders;
     view.mIsUnreachable = [this](const std::string& aEngine) {
-      return mFound.count(aEngine) != 0 || mSilent.count(aEngine) != 0;
+      return mDetectedLost.count(aEngine) != 0 || mSilent.count(aEngine) != 0;
+    };
+    view.mHasExited = [this](const std::string& aEngine) {
+      return mDetectedLost.count(aEngine) != 0;
     };
-    view.mHasExited = [this](const std::string& aEngine) { return mFound.count(aEngine) != 0; };
     view.mInFlight = [this, &aPlanner](const std::string& aHead) {
-      if (mStreamsLast && TakesNoneSince(aPlanner, aHead) >= *mStreamsLast) {
+      if (mStreamsLast && DrainingFor(aPlanner, aHead) >= *mStreamsLast) {
         return 0;
       }
       const auto model = mInFlightOf.find(mPool.At(aHead).mModel);
@@ -96,7 +98,7 @@
       return limit == mLimits.end() ? std::nullopt : std::optional<double>(limit->second);
     };
     view.mInFlightAtFormerHead = [this](const std::string&, std::uint64_t) { return mInFlight; };
-    view.mIsStalled = [this](const std::string& aHead) { return StandsStill(aHead); };
+    view.mIsStalled = [this](const std::string& aHead) { return IsStalled(aHead); };
     if (++mRounds % 35 == 0) { // about every 700 ms engines with unanswered orders are queried
       const auto unanswering = aPlanner.Unanswering();
       for (const auto& it : unanswering) {
@@ -109,48 +111,48 @@
     mMaxGiven = std::max(mMaxGiven, static_cast<int>(orders.size()));
     const auto wanted = aPlanner.EnginesToQuery();
     for (const auto& [it, engine] : wanted) {
-      if (mPool.At(it).mAlive && mFound.count(it) == 0 && mSilent.count(it) == 0) {
-        aPlanner.OnReport(it, OldReport(it), Now());
+      if (mPool.At(it).mAlive && mDetectedLost.count(it) == 0 && mSilent.count(it) == 0) {
+        aPlanner.OnReport(it, DelayedReport(it), Now());
       }
     }
     for (const auto& order : orders) {
       ++mGiven[order.mKind];
       mJoins[order.mEngine] += order.mKind == GroupOrderKind::kJoin ? 1 : 0;
-      switch (FateOf(order)) {
-        case Fate::kArrives:
+      switch (DeliveryOf(order)) {
+        case OrderDelivery::kArrives:
           aPlanner.OnAnswer(order, Answer(order), Now());
           break;
-        case Fate::kLost:
+        case OrderDelivery::kLost:
           aPlanner.OnAnswer(order, OrderAnswer::kNone, Now());
           break;
-        case Fate::kAnswerLost:
+        case OrderDelivery::kAnswerLost:
           mPool.Order(order, Now());
           aPlanner.OnAnswer(order, OrderAnswer::kNone, Now());
           break;
-        case Fate::kUnread:
+        case OrderDelivery::kUnread:
           mPool.Order(order, Now());
           aPlanner.OnAnswer(order, OrderAnswer::kUnread, Now());
           break;
-        case Fate::kLate:
+        case OrderDelivery::kLate:
           mLate.emplace_back(Now() + seconds(4), order);
           aPlanner.OnAnswer(order, OrderAnswer::kNone, Now());
           break;
-        case Fate::kSlow:
+        case OrderDelivery::kSlow:
           mSlow.push_back({ Now() + kSlowAnswer, &aPlanner, order, std::nullopt });
           break;
-        case Fate::kAnswerSlow:
+        case OrderDelivery::kAnswerSlow:
           mSlow.push_back({ Now() + kSlowAnswer, &aPlanner, order, mPool.Order(order, Now()) });
           break;
       }
     }
   }
 
-  Fate FateOf(const GroupOrder& aOrder) const
+  OrderDelivery DeliveryOf(const GroupOrder& aOrder) const
   {
     if (mSilent.count(aOrder.mEngine) != 0) {
-      return Fate::kLost;
+      return OrderDelivery::kLost;
     }
-    return mFate ? mFate(aOrder) : Fate::kArrives;
+    return mDeliveryOf ? mDeliveryOf(aOrder) : OrderDelivery::kArrives;
   }
 
   OrderAnswer Answer(const GroupOrder& aOrder)
@@ -177,14 +179,14 @@
   }
 
   /// Returns an engine's report as of mReportLag ago.
-  EngineReport OldReport(const std::string& aEngine)
+  EngineReport DelayedReport(const std::string& aEngine)
   {
     const auto& reports = mReports.front().second;
     const auto it = reports.find(aEngine);
     return it == reports.end() ? EngineReport{} : it->second;
   }
 
-  void KeepReports()
+  void RecordReports()
   {
     std::map<std::string, EngineReport> reports;
     for (const auto& [id, engine] : mPool.Engines()) {
@@ -207,11 +209,11 @@
       mPool.Order(it->second, Now());
       it = mLate.erase(it);
     }
-    AnswerSlowOnes();
+    DeliverDueAnswers();
     mPool.Advance(Now());
   }
 
-  void AnswerSlowOnes()
+  void DeliverDueAnswers()
   {
     while (!mSlow.empty() && Now() >= mSlow.front().mDue) {
       const SlowOrder it = mSlow.front();
@@ -234,7 +236,7 @@
 
   /// @return whether nodes would report that a head makes no progress, because a member of its
   /// group has died or is silent.
-  bool StandsStill(const std::string& aHead)
+  bool IsStalled(const std::string& aHead)
   {
     const auto& members = mPool.At(aHead).mMembers;
     return std::any_of(members.begin(), members.end(), [this](const std::string& aMember) {
@@ -243,7 +245,7 @@
   }
 
   /// @return how long the planner has kept new requests away from the replica of a head.
-  Duration TakesNoneSince(const GroupPlanner& aPlanner, const std::string& aHead)
+  Duration DrainingFor(const GroupPlanner& aPlanner, const std::string& aHead)
   {
     for (const auto& [name, replica] : aPlanner.Replicas()) {
       if (replica.mMembers.front() == aHead && replica.mLeavingSince) {
@@ -254,13 +256,13 @@
   }
 
   /// The engine stops listening and answers no queries, but keeps working for its group.
-  void StopListening(const std::string& aEngine) { mFound.insert(aEngine); }
+  void StopListening(const std::string& aEngine) { mDetectedLost.insert(aEngine); }
 
   /// The engine exits. The platform still lists it, and it is detected at once as not answering.
   void Kill(const std::string& aEngine)
   {
     mPool.At(aEngine).mAlive = false;
-    mFound.insert(aEngine);
+    mDetectedLost.insert(aEngine);
   }
 
   /// All engines exit. After aAfter the same number of empty engines appears in each domain under
@@ -299,9 +301,9 @@
   FakePool mPool;
   Duration mReportLag = milliseconds(200);
   std::deque<std::pair<TimePoint, std::map<std::string, EngineReport>>> mReports;
-  std::set<std::string> mFound;  ///< detected as not answering and exited
-  std::set<std::string> mSilent; ///< do not answer, and may continue
-  std::function<Fate(const GroupOrder&)> mFate;
+  std::set<std::string> mDetectedLost; ///< detected as not answering and exited
+  std::set<std::string> mSilent;       ///< do not answer, and may continue
+  std::function<OrderDelivery(const GroupOrder&)> mDeliveryOf;
   std::vector<std::pair<TimePoint, GroupOrder>> mLate;
   /// An order whose answer is pending.
   struct SlowOrder
--- a/src/pepperbay/placement/planner_test.cpp
+++ b/src/pepperbay/placement/planner_test.cpp
@@ -24,7 +24,7 @@
         host.mAddress = host.mHost;
         host.mAccelerators = 4;
         mHosts.push_back(host);
-        proto::Evidence& said = mSays[host.mHost];
+        proto::Evidence& said = mHostReports[host.mHost];
         said.set_host(host.mHost);
         said.set_host_incarnation(1);
         said.set_phase(proto::PHASE_IDLE);
@@ -70,7 +70,7 @@
   /// answer carry out the orders.
   PlanOutcome Round(bool aDrained = true)
   {
-    for (const auto& [host, said] : mSays) {
+    for (const auto& [host, said] : mHostReports) {
       if (mSilent.count(host) == 0) {
         mEvidence.Merge(said, mClock.Now());
       }
@@ -84,7 +84,7 @@
       record.set_format(kFormat);
       mVerdicts.push_back(Fold(record));
     }
-    Obey();
+    CarryOutOrders();
     mClock.Advance(seconds(1));
     return outcome;
   }
@@ -108,9 +108,9 @@
     }
   }
 
-  void Obey()
+  void CarryOutOrders()
   {
-    for (auto& [host, said] : mSays) {
+    for (auto& [host, said] : mHostReports) {
       if (mSilent.count(host) > 0) {
         continue;
       }
@@ -150,7 +150,7 @@
   State mState;
   EvidenceTable mEvidence;
   std::vector<HostView> mHosts;
-  std::map<std::string, proto::Evidence> mSays;
+  std::map<std::string, proto::Evidence> mHostReports;
   std::set<std::string> mSilent;
   std::vector<FoldVerdict> mVerdicts;
   std::uint64_t mSequence = 0;
@@ -241,7 +241,7 @@
   model.Rounds(3);
   const std::string host =
     model.mState.Content().replicas().begin()->second.assign().members(1).host();
-  model.mSays[host].set_refused(true);
+  model.mHostReports[host].set_refused(true);
   model.Round();
   EXPECT_EQ(model.mState.Content().generations().begin()->second, 2U);
 }
@@ -280,7 +280,7 @@
   model.Rounds(4);
   EXPECT_EQ(model.mState.ReplicaOfHost(host), nullptr);
   EXPECT_EQ(model.Whole("p"), 2);
-  model.mSays[host].set_host_incarnation(2); // restarted: the planned stop is over
+  model.mHostReports[host].set_host_incarnation(2); // restarted: the planned stop is over
   model.Rounds(2);
   model.mSilent.insert(
     model.mState.Content().replicas().begin()->second.assign().members(0).host());
@@ -364,9 +364,9 @@
       break; // one host is missing: 800/1000 of 19 hosts make 3.8 groups of four
     }
     model.mSilent.erase(it);
-    model.mSays[it].clear_replica();
-    model.mSays[it].set_phase(proto::PHASE_IDLE);
-    model.mSays[it].set_host_incarnation(2);
+    model.mHostReports[it].clear_replica();
+    model.mHostReports[it].set_phase(proto::PHASE_IDLE);
+    model.mHostReports[it].set_host_incarnation(2);
     model.Rounds(5);
   }
   model.Rounds(20);
@@ -388,7 +388,7 @@
     } else if (kind == 1) {
       model.mSilent.erase(host);
     } else if (kind == 2) {
-      proto::Evidence& said = model.mSays[host]; // restarted empty
+      proto::Evidence& said = model.mHostReports[host]; // restarted empty
       said.set_host_incarnation(said.host_incarnation() + 1);
       said.clear_replica();
       said.set_phase(proto::PHASE_IDLE);
@@ -462,7 +462,7 @@
   model.Profile("later", 4, 500, 5);
   model.Profile("urgent", 4, 500, 0);
   model.Round();
-  for (auto& [host, said] : model.mSays) { // no order has been carried out yet
+  for (auto& [host, said] : model.mHostReports) { // no order has been carried out yet
     said.clear_replica();
     said.set_phase(proto::PHASE_IDLE);
   }
@@ -489,7 +489,7 @@
   }
   model.Profile("p", 4, 1000, 5);
   model.Round();
-  for (auto& [host, said] : model.mSays) {
+  for (auto& [host, said] : model.mHostReports) {
     said.clear_replica();
     said.set_phase(proto::PHASE_IDLE);
   }
@@ -498,7 +498,7 @@
   const auto ordersAt = [&](Duration aLater) {
     model.mClock = ManualClock();
     model.mClock.Advance(taken + aLater - model.mClock.Now());
-    for (const auto& [host, said] : model.mSays) {
+    for (const auto& [host, said] : model.mHostReports) {
       model.mEvidence.Merge(said, model.mClock.Now());
     }
     PlanInput input = model.Input();
