--- a/cmake/Layers.cmake
+++ b/cmake/Layers.cmake
@@ -25,11 +25,11 @@
 pepperbay_library(placement SOURCES planner.cpp survey.cpp orders.cpp reserves.cpp group_order.cpp
                           engine_state.cpp group_planner.cpp group_planner_orders.cpp
                           group_planner_repair.cpp group_planner_spares.cpp
-                          group_planner_starts.cpp group_planner_survivors.cpp
+                          group_planner_incarnations.cpp group_planner_survivors.cpp
                           group_planner_composition.cpp composition.cpp
                   TESTS planner_test.cpp reserves_test.cpp group_planner_test.cpp
-                        group_planner_leaving_test.cpp group_planner_loads_test.cpp group_planner_places_test.cpp
-                        group_planner_starts_test.cpp group_planner_survivors_test.cpp
+                        group_planner_leaving_test.cpp group_planner_loads_test.cpp group_planner_positions_test.cpp
+                        group_planner_incarnations_test.cpp group_planner_survivors_test.cpp
                         engine_state_test.cpp composition_test.cpp
                         group_planner_composition_test.cpp USES state membership routing) # pure
 pepperbay_library(admission SOURCES admission.cpp connection_gate.cpp earned_retries.cpp retry_budget.cpp token_bucket.cpp turn_book.cpp
--- a/scripts/mutants/composition.sh
+++ b/scripts/mutants/composition.sh
@@ -3,19 +3,19 @@
 # shellcheck shell=bash disable=SC2154
 p=$s/placement
 mutant "rebalances without a minimum gain" $p/composition.cpp \
-  's/before - after >= aOptions.mMinGain/true/' placement_composition_test '*DoNotTurnBack*'
+  's/before - after >= aOptions.mMinGain/true/' placement_composition_test '*AreNotReversed*'
 mutant "a model keeps no minimum of replicas" $p/composition.cpp \
   's/aFrom.mReplicas < aOptions.mMinReplicas \+ conversion.mGives/false/' \
-  placement_composition_test '*KeepsItsLeastReplicas*'
+  placement_composition_test '*MinimumOfReplicas*'
 mutant "a model gives whatever it needs itself" $p/composition.cpp \
   's/after <= aOptions.mMaxDonorUtilisation \&\& afterLoss <= 1.0 \&\&/true \&\&/' \
-  placement_composition_test '*FullGivesNothing*:*DoNotTurnBack*'
+  placement_composition_test '*AFullModel*:*AreNotReversed*'
 mutant "engines leave before streams have ended" $p/group_planner_composition.cpp \
   's/it->mGivenUp = true;/it->mGivenUp = true; Break(*it, "", mView->mNow);/' \
   placement_group_planner_composition_test '*EndsItsStreamsFirst*'
 mutant "nothing is taken back" $p/group_planner_composition.cpp \
   's/if \(KeepServing\(aNeed.mTo\)\)/if (false)/' \
-  placement_group_planner_composition_test '*TakenBack*'
+  placement_group_planner_composition_test '*StillServeAreKept*'
 mutant "the least is counted with replicas just found broken" $p/group_planner_composition.cpp \
   's/const bool kept = serves .*/const bool kept = false;/' \
   placement_group_planner_composition_test '*NewHolder*'
--- a/scripts/mutants/late.sh
+++ b/scripts/mutants/late.sh
@@ -24,7 +24,7 @@
   's/if \(!answered \&\& unheard\)/if (false)/' coordinator_engine_doubts_test '*CouldNotBeHeard*'
 mutant "an unread order counts as unanswered" $s/placement/group_planner_orders.cpp \
   's/aAnswer == OrderAnswer::kNone \&\& \+\+pending/++pending/' \
-  placement_group_planner_test '*CouldNotBeHeard*'
+  placement_group_planner_test '*ReadTooLate*'
 mutant "the client looks at the time first" $s/http/client.cpp \
   's/const TimePoint looked = mOptions.mNow\(\);/const TimePoint looked = mOptions.mNow(); GiveUp(looked);/' \
   http_http_test '*ThoughItsTimeIsOver*'
--- a/scripts/mutants/shared_pool.sh
+++ b/scripts/mutants/shared_pool.sh
@@ -72,20 +72,20 @@
   's/  if \(IsIn\(aOrder.mGroup, aOrder.mEpoch\)\) \{/  if (true) {/' \
   placement_engine_state_test '*OlderEpoch*'
 mutant "an old registration comes back" $groups/engine_state.cpp \
-  's/aPosition.mEpoch > std::max\(mLeft, mPosition.mEpoch\)/true/' placement_engine_state_test '*StandsStill*'
+  's/aPosition.mEpoch > std::max\(mLeft, mPosition.mEpoch\)/true/' placement_engine_state_test '*OutdatedRegistration*'
 mutant "a leave that names no number proves that one has left" $groups/engine_state.cpp \
   's/aOrder.mAccepted \? OrderProof::kDone : OrderProof::kAlreadySo;/OrderProof::kDone;/; s/\*aOrder.mAccepted \+ 1;/aOrder.mAccepted.value_or(mAccepted) + 1;/' \
   placement_engine_state_test '*WithoutANumber*'
 mutant "an open that is in progress is counted again" $groups/engine_state.cpp \
   's/InvalidateAccepted\(mAccepted \+ 1, aNow\);/++mAccepted;/' placement_engine_state_test '*AnOpen*'
 mutant "a number that was refused is taken again" $groups/engine_state.cpp \
-  's/\*aOrder.mAccepted \+ 1 : mAccepted/0 : 0/' placement_engine_state_test '*WasRefused*'
+  's/\*aOrder.mAccepted \+ 1 : mAccepted/0 : 0/' placement_engine_state_test '*RefusedNumber*'
 mutant "a late answer brings a membership back" $groups/engine_state.cpp \
   's/aOrder.mEpoch < mPosition.mEpoch \|\| aOrder.mEpoch <= mLeft/false/' \
   placement_engine_state_test '*LateAnswer*'
 mutant "an order to stage that was lost counts" $groups/group_planner_orders.cpp \
   's/if \(aOrder.mKind == GroupOrderKind::kStage \&\& !taken\)/if (false)/' \
-  placement_group_planner_places_test '*ToStage*'
+  placement_group_planner_positions_test '*ToStage*'
 mutant "late joins are forgotten" $groups/group_planner.cpp \
   's/return it != mUnansweredJoins.end\(\) .*/return false;/' placement_group_planner_test '*NeverServes*'
 mutant "loads of joins are not counted" $groups/group_planner_orders.cpp \
--- a/src/pepperbay/placement/composition_test.cpp
+++ b/src/pepperbay/placement/composition_test.cpp
@@ -39,21 +39,21 @@
 }
 
 /// Both models are full. Guards against refusing requests of one model for the sake of the other.
-TEST(Composition, AModelThatIsFullGivesNothing)
+TEST(Composition, AFullModelGivesUpNoReplicas)
 {
   EXPECT_FALSE(
     NextRebalance({ Use("big", 8, 9, 170), Use("small", 2, 36, 1000) }, kSlots, {}).has_value());
 }
 
 /// Guards against leaving a model with so few replicas that it cannot lose one.
-TEST(Composition, EachModelKeepsItsLeastReplicas)
+TEST(Composition, EachModelKeepsItsMinimumOfReplicas)
 {
   EXPECT_FALSE(
     NextRebalance({ Use("big", 8, 2, 0), Use("small", 2, 36, 1000) }, kSlots, {}).has_value());
 }
 
 /// Guards against a change of replicas although the operator has chosen fixed shares.
-TEST(Composition, SharesStandWhereThePolicySaysSo)
+TEST(Composition, FixedSharesDisableRebalances)
 {
   CompositionOptions options;
   options.mPolicy = CompositionPolicy::kShares;
@@ -63,7 +63,7 @@
 
 /// Guards against flapping: under constant demand, no sequence of rebalances reverses itself, and
 /// each leaves every model its minimum of replicas.
-RC_GTEST_PROP(Composition, TradesEndAndDoNotTurnBack, ())
+RC_GTEST_PROP(Composition, RebalancesEndAndAreNotReversed, ())
 {
   const auto sizeOf = [] { return *rc::gen::inRange<std::size_t>(1, 17); };
   std::vector<ModelUse> uses;
--- a/src/pepperbay/placement/engine_state_test.cpp
+++ b/src/pepperbay/placement/engine_state_test.cpp
@@ -77,7 +77,7 @@
 }
 
 /// Without a number in the order, the engine may have left, or have been ordered elsewhere since.
-TEST(EngineState, ALeaveWithoutANumberLeavesTheNumberToTheEngine)
+TEST(EngineState, ALeaveWithoutANumberInvalidatesTheNumber)
 {
   EngineState state = RegisteredInEpochNine();
   EXPECT_EQ(state.OnAnswer(Leave(9), OrderAnswer::kHolds, kNow), OrderProof::kAlreadySo);
@@ -88,7 +88,7 @@
 /// Guards against treating a member with an outdated registration as free. The member reports a
 /// newer epoch while its registration still shows the old one. The failure occurs if the report is
 /// valid for half a second only.
-TEST(EngineState, ARegistrationThatStandsStillNeverComesBack)
+TEST(EngineState, AnOutdatedRegistrationIsIgnored)
 {
   EngineState state = RegisteredInEpochNine();
   state.OnRegistration(Position("r1", 7));
@@ -102,7 +102,7 @@
   EXPECT_EQ(state.Accepted(), std::nullopt);
 }
 
-TEST(EngineState, AReportOfBeforeAnAnsweredOrderIsNotTaken)
+TEST(EngineState, AReportFromBeforeAnAnsweredOrderIsIgnored)
 {
   EngineState state = RegisteredInEpochNine();
   state.OnAnswer(Leave(9, 6), OrderAnswer::kHolds, kNow);
@@ -129,7 +129,7 @@
 /// Guards against a second refusal of the same join. The engine has accepted an order unknown to
 /// the holder, and its report is from before that order. The failure occurs if the number that was
 /// just refused is taken from the report again.
-TEST(EngineState, ANumberThatWasRefusedIsNotTakenAgain)
+TEST(EngineState, ARefusedNumberIsNotUsedAgain)
 {
   EngineState state = RegisteredInEpochNine();
   EXPECT_EQ(state.OnAnswer(Join(11, 6), OrderAnswer::kNotNow, kNow), OrderProof::kRefused);
@@ -140,7 +140,7 @@
   EXPECT_EQ(state.Accepted(), 7U);
 }
 
-TEST(EngineState, AnOrderWithoutAnAnswerLeavesTheNumberOpen)
+TEST(EngineState, AnOrderWithoutAnAnswerInvalidatesTheNumber)
 {
   EngineState state = RegisteredInEpochNine();
   EXPECT_EQ(state.OnAnswer(Join(11, 6), OrderAnswer::kNone, kNow), OrderProof::kUnknown);
--- a/src/pepperbay/placement/group_planner_composition_test.cpp
+++ b/src/pepperbay/placement/group_planner_composition_test.cpp
@@ -108,7 +108,7 @@
 
 /// Demand shifts back while replicas that are to be given up still serve. Guards against a model
 /// that waits for engines which still serve it.
-TEST(GroupPlannerComposition, ReplicasThatStillServeAreTakenBack)
+TEST(GroupPlannerComposition, ReplicasThatStillServeAreKept)
 {
   ChangingDemandWorld world;
   world.mStreamsLast = seconds(7);
@@ -122,7 +122,7 @@
 
 /// Most heads of one model state a rate limit, so that their slots look idle. Guards against taking
 /// replicas of the model that is short of slots.
-TEST(GroupPlannerComposition, AModelWhoseHeadsAreLimitedGivesNothing)
+TEST(GroupPlannerComposition, AModelWithRateLimitedHeadsGivesUpNoReplicas)
 {
   EnginePool pool = PairsAndEights();
   pool.mStepTime = milliseconds(8);
--- a/src/pepperbay/placement/group_planner_starts_test.cpp
+++ b/src/pepperbay/placement/group_planner_incarnations_test.cpp
@@ -8,7 +8,7 @@
 /// Guards against a replica whose streams stall until its head breaks seconds later, while the
 /// engine that caused it stays unused. A member restarts under its id and its registration never
 /// lapses. An engine identified by its id alone looks like the old member.
-TEST(GroupPlannerStarts, AMemberThatStartedAgainIsReplacedAndComesBackFree)
+TEST(GroupPlannerIncarnations, ARestartedMemberIsReplacedAndReturnsAsFree)
 {
   World world(1);
   GroupPlanner planner;
@@ -30,7 +30,7 @@
 /// afterwards. Guards against attributing them to the new incarnation: a head that lost its
 /// requests would be sent new ones, or an engine would be excluded for unanswered orders of its
 /// stale incarnation.
-TEST(GroupPlannerStarts, WhatAFormerStartAnsweredIsNotTaken)
+TEST(GroupPlannerIncarnations, AnswersOfAStaleIncarnationAreIgnored)
 {
   World world(1);
   GroupPlanner planner;
@@ -61,7 +61,7 @@
 /// every 250 ms. An engine accepts orders of an earlier holder and loses their effect: it is in no
 /// replica and its host holds no weights. The next holder takes it for a newly started engine.
 /// After a refusal it must be queried, not assumed new again.
-TEST(GroupPlannerStarts, AnEngineThatOnlyLooksNewIsAskedAfterItHasRefused)
+TEST(GroupPlannerIncarnations, AnEngineAssumedNewIsQueriedAfterItHasRefused)
 {
   World world(1);
   for (auto& [id, engine] : world.mPool.Engines()) {
@@ -77,7 +77,7 @@
 /// a replica with fewer of its members, and this holder sees that in the registrations. If the
 /// index keeps the former members, they are never used again, and a restart of one of them re-forms
 /// the whole replica or ends the holder with an exception.
-TEST(GroupPlannerStarts, MembersThatAnotherHolderLeftOutAreFree)
+TEST(GroupPlannerIncarnations, MembersThatAnotherHolderLeftOutAreFree)
 {
   World world(1);
   GroupPlanner first;
@@ -102,7 +102,7 @@
 /// Guards against memory that grows with every engine ever seen, as engines exit and others with
 /// new ids appear for hours. The test observes this by reusing an id much later: no earlier state
 /// of it may be known.
-TEST(GroupPlannerStarts, AnEngineThatIsLongGoneIsForgotten)
+TEST(GroupPlannerIncarnations, AnEngineThatExitedLongAgoIsForgotten)
 {
   World world(1);
   GroupPlanner planner;
--- a/src/pepperbay/placement/group_planner_leaving_test.cpp
+++ b/src/pepperbay/placement/group_planner_leaving_test.cpp
@@ -18,7 +18,7 @@
 /// requests. If the wait for streams in progress is too short (it was 1.6 s, far less than a stream
 /// takes or a leaving engine works on), the other members are ordered to join again, which ends the
 /// group and its streams.
-TEST(GroupPlannerLeaving, WhatIsInProgressEndsBeforeTheMembersJoinAnew)
+TEST(GroupPlannerLeaving, RequestsInProgressCompleteBeforeTheMembersJoinAgain)
 {
   World world(1);
   GroupPlanner planner;
@@ -38,7 +38,7 @@
 
 /// A count of requests that never falls, for example from a hung node, must not block the replica
 /// forever.
-TEST(GroupPlannerLeaving, WhatDoesNotEndIsNotWaitedForLongerThanAnEngineWorksOn)
+TEST(GroupPlannerLeaving, RequestsThatDoNotCompleteAreAwaitedForTheDrainTimeOnly)
 {
   World world(1);
   GroupPlanner planner;
@@ -85,7 +85,7 @@
 /// Guards against streams reset by a change of the lease holder. A member's registration is gone
 /// but its replica still works. The new holder sees an incomplete replica and must not order the
 /// other members to join again: an unlisted engine may still work.
-TEST(GroupPlannerLeaving, ANewHolderEndsNothingThatWorksOn)
+TEST(GroupPlannerLeaving, ANewHolderEndsNoReplicaThatStillWorks)
 {
   World world(1);
   GroupPlanner before;
@@ -131,7 +131,7 @@
 /// unannounced one after the other. When the first stops listening, the replica must be re-formed
 /// with a ready spare, not with the second, which still answers but is no longer listed. Otherwise
 /// it stops serving again seconds later and refuses all requests until that is detected.
-TEST(GroupPlannerLeaving, ASpareGoesBeforeAMemberThatIsNoLongerListed)
+TEST(GroupPlannerLeaving, ASpareIsPreferredToAMemberThatIsNoLongerListed)
 {
   World world(1);
   GroupPlanner planner;
@@ -155,7 +155,7 @@
 
 /// A restarted member has lost its group state: the replica makes no progress, and the planner must
 /// not wait, even if no node reports a stalled stream because all of them are waiting.
-TEST(GroupPlannerLeaving, AReplicaWhoseMemberHasStartedAgainIsFormedAnewAtOnce)
+TEST(GroupPlannerLeaving, AReplicaWithARestartedMemberIsReformedAtOnce)
 {
   World world(1);
   GroupPlanner planner;
@@ -170,7 +170,7 @@
 /// Guards against streams reset by a change of the lease holder. A head's registration is gone but
 /// it still serves its streams. The new holder discovers the other members and must not order them
 /// to join again: an unlisted head may still work.
-TEST(GroupPlannerLeaving, ANewHolderEndsNothingOfAHeadThatIsNotListed)
+TEST(GroupPlannerLeaving, ANewHolderEndsNoStreamsOfAnUnlistedHead)
 {
   World world(1);
   GroupPlanner before;
@@ -186,7 +186,7 @@
 }
 
 /// Guards against re-forming a replica, which ends its streams, while a member only pauses.
-TEST(GroupPlannerLeaving, AMemberThatIsOnlySilentEndsNothing)
+TEST(GroupPlannerLeaving, AMemberThatIsOnlySilentEndsNoStreams)
 {
   for (const std::size_t rank : { 0U, 3U }) {
     for (const int streams : { 0, 2 }) {
@@ -214,7 +214,7 @@
 }
 
 /// Guards against a replica that waits forever for a member that has exited rather than paused.
-TEST(GroupPlannerLeaving, AMemberWhoseSilenceHasBecomeAnEndIsReplaced)
+TEST(GroupPlannerLeaving, AMemberThatExitedWhileSilentIsReplaced)
 {
   World world(1);
   GroupPlanner planner;
--- a/src/pepperbay/placement/group_planner_places_test.cpp
+++ b/src/pepperbay/placement/group_planner_positions_test.cpp
@@ -47,7 +47,7 @@
 /// The failure occurs if an old registration is used again half a second after the engine's newer
 /// report, together with the number of accepted orders from that report, which passes the engine's
 /// guard.
-TEST(GroupPlannerPlaces, AMemberWhoseRegistrationStandsStillLeavesBeforeItJoinsAnother)
+TEST(GroupPlannerPositions, AMemberWithAnOutdatedRegistrationLeavesBeforeItJoinsAnother)
 {
   StaleRegistrations given;
   World& world = given.mWorld;
@@ -65,7 +65,7 @@
 /// Guards against a repair that takes 250 ms longer for each engine that has loaded weights for a
 /// join. Repeats of a join in progress are each answered with kBegun. If each answer counts as
 /// another accepted order, the engines refuse the next join.
-TEST(GroupPlannerPlaces, AJoinThatIsStillInProgressIsCountedOnce)
+TEST(GroupPlannerPositions, AJoinThatIsStillInProgressIsCountedOnce)
 {
   World world(1);
   GroupPlanner planner;
@@ -80,7 +80,7 @@
 /// another. A replica is given up for a larger one of its domain and its members leave, which is
 /// answered as done. Such an order counts as accepted; otherwise the join carries a number one too
 /// low, is refused, and the next report is still from before the leave.
-TEST(GroupPlannerPlaces, AnEngineThatHasLeftJoinsAtOnce)
+TEST(GroupPlannerPositions, AnEngineThatHasLeftJoinsAtOnce)
 {
   World world(3);
   GroupPlanner planner;
@@ -99,7 +99,7 @@
 
 /// Guards against a free engine that never gets the weights to be ready for a loss. The order to
 /// stage weights is lost in transit; a sent order must not count as a transfer in progress forever.
-TEST(GroupPlannerPlaces, AnOrderToStageThatComesToNothingIsGivenAgain)
+TEST(GroupPlannerPositions, ALostOrderToStageIsRepeated)
 {
   World world(1);
   GroupPlanner planner;
@@ -116,7 +116,7 @@
 /// forms while one member still warms up. A query to an exited engine is answered by the engine now
 /// at that address, which is a member here and is ready. Ready members must be tracked by id; a
 /// count would include the answer of an engine that is no member.
-TEST(GroupPlannerPlaces, AWordOfAnEngineThatIsNoMemberMakesNoneReady)
+TEST(GroupPlannerPositions, AnAnswerOfANonMemberMakesNoMemberReady)
 {
   World world(1);
   GroupPlanner planner;
--- a/src/pepperbay/placement/group_planner_test.cpp
+++ b/src/pepperbay/placement/group_planner_test.cpp
@@ -10,7 +10,7 @@
 
 /// Guards against a holder whose first round takes longer than its lease because the work grows
 /// with the square of the number of engines.
-TEST(GroupPlanner, ARoundOfALargePoolLooksAtEachEngineAFewTimes)
+TEST(GroupPlanner, ARoundOfALargePoolExaminesEachEngineAFewTimes)
 {
   constexpr std::size_t kDomains = 300;
   constexpr std::size_t kPerDomain = 10;
@@ -192,7 +192,7 @@
   EXPECT_EQ(world.mPool.Serving("big"), 1U);
 }
 
-TEST(GroupPlanner, AReplicaWithALeavingMemberDrainsAndThenSwapsIt)
+TEST(GroupPlanner, AReplicaWithALeavingMemberDrainsAndThenReplacesIt)
 {
   World world(1);
   GroupPlanner planner;
@@ -208,7 +208,7 @@
   EXPECT_NE(world.MemberOf(planner, "big", 2), leaving);
 }
 
-TEST(GroupPlanner, OrdersThatAreNotAnsweredAreGivenAgain)
+TEST(GroupPlanner, UnansweredOrdersAreRepeated)
 {
   World world(1);
   GroupPlanner planner;
@@ -236,7 +236,7 @@
 }
 
 /// Guards against engines that count as lost because the holder read their answers too late.
-TEST(GroupPlanner, AnAnswerThatCouldNotBeHeardSaysNothingOfTheEngine)
+TEST(GroupPlanner, AnAnswerReadTooLateProvesNothingAboutTheEngine)
 {
   World world(1);
   GroupPlanner planner;
@@ -258,7 +258,7 @@
 /// answers queries at its address. The failure stalls a replica for seconds, sends a third of all
 /// orders to engines that refuse them, and re-forms a replica without a spare four times per
 /// second.
-TEST(GroupPlanner, AnEngineWhoseAddressBelongsToAnotherIsGone)
+TEST(GroupPlanner, AnEngineWhoseAddressBelongsToAnotherHasExited)
 {
   World world(1);
   for (auto& [id, engine] : world.mPool.Engines()) {
--- a/src/pepperbay/placement/planner_test.cpp
+++ b/src/pepperbay/placement/planner_test.cpp
@@ -305,7 +305,7 @@
   EXPECT_EQ(model.Whole("p"), 3);
 }
 
-TEST(Planner, ARollWithoutAReplicaToSpareWaitsAndSaysSo)
+TEST(Planner, ARollWithoutAReplicaToSpareWaitsAndReportsIt)
 {
   Model model(1, 4);
   model.Profile("p", 4, 1000, 5);
@@ -316,7 +316,7 @@
   EXPECT_NE(model.Round().mWaiting["p"].find("roll"), std::string::npos);
 }
 
-TEST(Planner, AVersionThatFailsToLoadGoesBack)
+TEST(Planner, AVersionThatFailsToLoadIsRolledBack)
 {
   Model model(1, 8);
   model.Profile("p", 4, 500, 5);
@@ -374,7 +374,7 @@
   EXPECT_GE(model.Whole("small"), 2);
 }
 
-RC_GTEST_PROP(Planner, ItsRecordsAreAcceptedAndItSettles, ())
+RC_GTEST_PROP(Planner, ItsRecordsAreAcceptedAndItConverges, ())
 {
   const auto script = *rc::gen::container<std::vector<std::pair<int, int>>>(
     rc::gen::pair(rc::gen::inRange(0, 5), rc::gen::inRange(0, 14)));
--- a/src/pepperbay/placement/reserves_test.cpp
+++ b/src/pepperbay/placement/reserves_test.cpp
@@ -80,7 +80,7 @@
   }
 }
 
-TEST(Reserves, TheFoldOvertakesRepairs)
+TEST(Reserves, TheFoldSupersedesRepairs)
 {
   OutageRepairs repairs{ { "r", Repair() } };
   const State over = WithRepairs(Folded(), repairs);
