--- a/src/pepperbay/placement/group_planner.cpp
+++ b/src/pepperbay/placement/group_planner.cpp
@@ -255,7 +255,7 @@
     const bool same = replica.mEpoch == epoch && replica.mPhase == ReplicaPhase::kOpen &&
                       headListed && replica.mMembers.front() == head.mId;
     if (same && head.mGroup.mPhase == GroupPhase::kBroken) {
-      Break(replica, "the head says that it is broken", mView->mNow);
+      Break(replica, "the head reports that it is broken", mView->mNow);
     } else if (same && members.size() > replica.mMembers.size()) {
       SetMembers(replica, IdsOf(members)); // a member whose registration had lapsed is listed again
     }
@@ -279,7 +279,7 @@
   // A head that states that it is open keeps working without an unlisted member until it states
   // otherwise. CheckReplica() finds the missing member.
   replica.mPhase = headListed && open ? ReplicaPhase::kOpen : ReplicaPhase::kBroken;
-  replica.mWhy = whole ? "found not open" : "found without all members";
+  replica.mWhy = whole ? "discovered before it was open" : "discovered with members missing";
   replica.mHeadUnlisted = !headListed;
   if (known != mReplicas.end()) {
     // Another holder has re-formed it, perhaps without some members; those are free.
@@ -377,7 +377,7 @@
   if (lost) {
     why = (lost->mHasExited ? "lost member " : "silent member ") + lost->mName;
   } else if (aReplica.mGivenUp) {
-    why = "its engines are needed by another";
+    why = "its engines are needed by another replica";
   }
   if (aReplica.mPhase != ReplicaPhase::kOpen) {
     Break(aReplica, std::move(why), mView->mNow);
--- a/src/pepperbay/placement/group_planner_orders.cpp
+++ b/src/pepperbay/placement/group_planner_orders.cpp
@@ -296,7 +296,7 @@
     const bool in = aPosition.mName == name && aPosition.mEpoch == replica.mEpoch;
     const bool settled = aNow - replica.mSince >= 2 * EngineState::kMaxReportAge;
     if (replica.mPhase == ReplicaPhase::kOpen && settled && !in) {
-      Break(replica, aEngine + " says that it is not in it", aNow);
+      Break(replica, aEngine + " reports that it is not in this replica", aNow);
     }
   }
 }
--- a/src/pepperbay/placement/planner.cpp
+++ b/src/pepperbay/placement/planner.cpp
@@ -266,11 +266,11 @@
       case RepairChoice::kTakeFromAnother:
         aGiven.insert(aDonor->mName);
         Release(*aDonor, true);
-        mOut.mWaiting[aReplica.mName] = "takes hosts of " + aDonor->mName;
+        mOut.mWaiting[aReplica.mName] = "taking hosts from " + aDonor->mName;
         return;
       case RepairChoice::kGiveUp:
         Release(aReplica, true);
-        mOut.mWaiting[aReplica.mName] = "given up; another domain has room";
+        mOut.mWaiting[aReplica.mName] = "released; another domain has room";
         return;
     }
   }
--- a/src/pepperbay/placement/planner_test.cpp
+++ b/src/pepperbay/placement/planner_test.cpp
@@ -342,9 +342,6 @@
   EXPECT_EQ(model.Whole("b"), 1);
 }
 
-/// For any history of silences, returns and restarts, the fold accepts every record of the planner
-/// (no host is assigned twice or across domains). Once all hosts are back and stable, every replica
-/// is whole and no domain has enough idle hosts for another.
 /// Guards against a profile of large replicas that stays partly out of service after a day of
 /// failures while another has more than its share. Hosts fail and return one by one; each free host
 /// becomes a replica of the single-host profile, so a whole group is never free again. The failure
@@ -374,6 +371,9 @@
   EXPECT_GE(model.Whole("small"), 2);
 }
 
+/// For any history of silences, returns and restarts, the fold accepts every record of the planner
+/// (no host is assigned twice or across domains). Once all hosts are back and stable, every replica
+/// is whole and no domain has enough idle hosts for another.
 RC_GTEST_PROP(Planner, ItsRecordsAreAcceptedAndItConverges, ())
 {
   const auto script = *rc::gen::container<std::vector<std::pair<int, int>>>(
@@ -429,12 +429,12 @@
 TEST(ChooseRepair, WeighsWaitingAgainstLoading)
 {
   const std::vector<RepairRow> rows = {
-    { "just silent, spare there", Case(1, false, 1, false, false), RepairChoice::kWait },
+    { "just silent, a spare available", Case(1, false, 1, false, false), RepairChoice::kWait },
     { "silent past the blip", Case(6, false, 1, false, false), RepairChoice::kUseSpares },
     { "process gone", Case(0, true, 1, false, false), RepairChoice::kUseSpares },
     { "no spare, maybe a blip", Case(1, false, 0, true, true), RepairChoice::kWait },
     { "no spare, a donor, may be a restart", Case(6, false, 0, true, false), RepairChoice::kWait },
-    { "no spare, a donor, away for long",
+    { "no spare, a donor, absent for long",
       Case(61, false, 0, true, false),
       RepairChoice::kTakeFromAnother },
     { "nothing to do", Case(6, false, 0, false, false), RepairChoice::kWait },
