--- a/include/pepperbay/placement/group_order.hpp
+++ b/include/pepperbay/placement/group_order.hpp
@@ -33,8 +33,7 @@
   std::string mGroup;
   std::uint64_t mEpoch = 0;
   std::string mModel;
-  std::vector<std::string>
-    mMembers;       ///< engine ids; the first is the head, which receives the replica's requests
+  std::vector<std::string> mMembers; ///< engine ids; the first is the head
   WallTime mBorn{}; ///< start time of the engine incarnation that the order is meant for
   /// The engine refuses the order unless it has accepted exactly this many orders since it started.
   std::optional<std::uint64_t> mAccepted;
--- a/include/pepperbay/placement/group_planner.hpp
+++ b/include/pepperbay/placement/group_planner.hpp
@@ -82,7 +82,7 @@
   /// A serving replica is given up for a broken one of its domain that lacks fewer engines than it
   /// has, if at most this fraction of the remaining slots of its model would then be in use. At
   /// higher utilisation, requests begin to wait for slots.
-  double mRoomToGive = 0.7;
+  double mMaxServingDonorUtilisation = 0.7;
   /// Decides when replicas of one model are given up for another with more demand.
   CompositionOptions mComposition;
   /// Engines that were released for another model and have not formed replicas of it after this
@@ -100,11 +100,11 @@
   /// loss is unlikely to happen soon.
   double mPrestageUtilisation = 0.6;
   /// A join without an answer may still be carried out for this long.
-  Duration mLateOrder = std::chrono::seconds(13);
+  Duration mLateOrderWindow = std::chrono::seconds(13);
   /// A member without a registration is kept while it answers at least once in this time. It may be
   /// cut off from the store and come back, or be shutting down unannounced; in the latter case it
   /// is then detected as lost like any other member.
-  Duration mUnlistedAnswers = std::chrono::milliseconds(900);
+  Duration mUnlistedAnswerTimeout = std::chrono::milliseconds(900);
   /// The state of an engine that is neither listed nor in a replica is dropped after this time. By
   /// then, a late order of this node can no longer reach it.
   Duration mForgetAfter = std::chrono::seconds(30);
@@ -126,8 +126,8 @@
   std::uint64_t mFence = 0;
   /// Maximum number of orders in this round; the remaining ones are sent in later rounds.
   int mMaxOrders = std::numeric_limits<int>::max();
-  bool mTraffic =
-    false; ///< requests have arrived: weight loads count against the store's rate limit
+  /// Requests have arrived: weight loads count against the store's rate limit.
+  bool mTraffic = false;
   /// Returns whether the engine does not answer, whatever its registration says.
   std::function<bool(const std::string& aEngine)> mIsUnreachable;
   /// Returns whether an engine that does not answer has exited; otherwise it may only pause. If
@@ -210,7 +210,7 @@
 
   const std::map<std::string, PlannedReplica>& Replicas() const { return mReplicas; }
   /// Members of the replicas, with the last listed record of each; some may no longer be listed.
-  const std::map<std::string, EngineRecord>& Members() const { return mKnown; }
+  const std::map<std::string, EngineRecord>& Members() const { return mMemberRecords; }
   /// Engines that left orders unanswered; they count as lost until they answer again.
   const std::set<std::string>& Unanswering() const { return mUnanswering; }
   void ReinstateEngine(const std::string& aEngine);
@@ -477,15 +477,14 @@
   /// refuses.
   std::set<std::string> mAssumedNew;
   std::map<std::string, EngineRecord> mEnginesToQuery;
-  std::map<std::string, EngineRecord> mKnown; ///< members, with their last listed record
+  std::map<std::string, EngineRecord> mMemberRecords; ///< members, with their last listed record
   std::map<std::string, TimePoint> mAnsweredAt;
   std::map<std::string, UnansweredJoin> mUnansweredJoins; ///< by engine
   std::set<std::string> mUnanswering;
   /// Engines whose address belongs to another engine, as stated by that engine. They return only by
   /// a restart; until then, answers from the address are not theirs.
   std::set<std::string> mSupersededEngines;
-  std::unordered_map<std::string, Incarnation>
-    mEngineIncarnations; ///< newest known incarnation, by engine
+  std::unordered_map<std::string, Incarnation> mEngineIncarnations; ///< newest, by engine
   TimePoint mForgetDue{};
   std::vector<TimePoint> mLoads;                     ///< started in the last second
   std::map<std::string, std::uint64_t> mLoadCounted; ///< by engine: epoch of the join that loads
@@ -493,9 +492,8 @@
   std::uint64_t mNames = 0;
   std::size_t mSeenEngines = 0;
   TimePoint mLastNew{};
-  const GroupView* mView = nullptr; ///< input of the current round
-  std::map<std::string, std::vector<const EngineRecord*>>
-    mByDomain; ///< engines of the current round
+  const GroupView* mView = nullptr;                                  ///< input of the current round
+  std::map<std::string, std::vector<const EngineRecord*>> mByDomain; ///< of the round
   mutable std::size_t mEnginesExamined = 0;
   std::vector<GroupOrder> mOrders;
 };
--- a/include/pepperbay/placement/planner.hpp
+++ b/include/pepperbay/placement/planner.hpp
@@ -85,8 +85,7 @@
 struct RepairCase
 {
   Duration mSilentFor{ 0 };
-  bool mProcessGone =
-    false; ///< nothing listens: it restarts empty and has to load the weights anyway
+  bool mProcessGone = false; ///< nothing listens: it restarts empty and must load the weights
   std::size_t mLost = 1;
   std::size_t mSize = 4;
   std::uint32_t mAccelerators = 4; ///< per host
--- a/scripts/mutants/shared_pool.sh
+++ b/scripts/mutants/shared_pool.sh
@@ -127,7 +127,7 @@
 mutant "second attempts of a desk without a budget" $s/places/place_agent.cpp \
   's/return EarnedOf\(aService\).Take\(Now\(\)\);/return true;/' places_place_agent_test '*SecondAttemptsStay*'
 mutant "a full model gives its replicas up" $groups/group_planner_survivors.cpp \
-  's/after <= mOptions.mRoomToGive \|\|/true ||/' \
+  's/after <= mOptions.mMaxServingDonorUtilisation \|\|/true ||/' \
   placement_group_planner_survivors_test '*WithoutRoom*'
 mutant "a replica that is given up ends at once" $groups/group_planner.cpp \
   's/return mView->mInFlight\(head\) > 0 \&\& !standsStill \&\& !waited;/return false;/; s/const bool (standsStill|waited) =/[[maybe_unused]] const bool \1 =/' \
--- a/src/pepperbay/placement/group_planner.cpp
+++ b/src/pepperbay/placement/group_planner.cpp
@@ -103,11 +103,11 @@
   if (const EngineRecord* engine = FindListed(aEngine)) {
     return engine;
   }
-  const auto known = mKnown.find(aEngine);
+  const auto known = mMemberRecords.find(aEngine);
   const auto answered = mAnsweredAt.find(aEngine);
-  const bool answers =
-    answered != mAnsweredAt.end() && mView->mNow - answered->second < mOptions.mUnlistedAnswers;
-  return known != mKnown.end() && answers ? &known->second : nullptr;
+  const bool answers = answered != mAnsweredAt.end() &&
+                       mView->mNow - answered->second < mOptions.mUnlistedAnswerTimeout;
+  return known != mMemberRecords.end() && answers ? &known->second : nullptr;
 }
 
 void
@@ -117,23 +117,23 @@
   for (const auto& [name, replica] : mReplicas) {
     for (const auto& it : replica.mMembers) {
       const EngineRecord* listed = FindListed(it);
-      const auto known = mKnown.find(it);
+      const auto known = mMemberRecords.find(it);
       if (listed != nullptr) {
         members[it] = *listed;
         mAnsweredAt[it] = mView->mNow; // a listing counts as an answer
-      } else if (known != mKnown.end()) {
+      } else if (known != mMemberRecords.end()) {
         members[it] = known->second;
         mEnginesToQuery[it] = known->second;
       }
     }
   }
-  mKnown = std::move(members);
+  mMemberRecords = std::move(members);
   for (auto it = mSupersededEngines.begin(); it != mSupersededEngines.end();) {
-    const bool needed = FindListed(*it) != nullptr || mKnown.count(*it) != 0;
+    const bool needed = FindListed(*it) != nullptr || mMemberRecords.count(*it) != 0;
     it = needed ? std::next(it) : mSupersededEngines.erase(it);
   }
   for (auto it = mAnsweredAt.begin(); it != mAnsweredAt.end();) {
-    it = mKnown.count(it->first) == 0 ? mAnsweredAt.erase(it) : std::next(it);
+    it = mMemberRecords.count(it->first) == 0 ? mAnsweredAt.erase(it) : std::next(it);
   }
 }
 
@@ -331,7 +331,7 @@
   if (engine == nullptr) {
     // Neither a registration nor an answer: both the platform and this node have lost contact with
     // it.
-    return mView->mNow - answered->second >= mOptions.mUnlistedAnswers + mOptions.mMaxPause;
+    return mView->mNow - answered->second >= mOptions.mUnlistedAnswerTimeout + mOptions.mMaxPause;
   }
   return mSupersededEngines.count(aMember) != 0 || engine->mService != mView->mService ||
          !IsNewestIncarnation(aMember, engine->mBorn);
--- a/src/pepperbay/placement/group_planner_loads_test.cpp
+++ b/src/pepperbay/placement/group_planner_loads_test.cpp
@@ -10,7 +10,7 @@
 /// @return the maximum number of loads started within any five seconds, of those after a given
 /// time.
 std::size_t
-MostLoads(World& aWorld, TimePoint aFrom)
+MaxLoads(World& aWorld, TimePoint aFrom)
 {
   const auto& loads = aWorld.mPool.Loads();
   std::size_t most = 0;
@@ -26,7 +26,7 @@
 }
 
 std::size_t
-MostLoadsAllowed(World& aWorld)
+MaxLoadsAllowed(World& aWorld)
 {
   return static_cast<std::size_t>(aWorld.mPool.Pool().mLoadsPerSecond * kLoadsCounted.count()) + 1;
 }
@@ -42,7 +42,7 @@
   world.mTraffic = true;
   const TimePoint back = world.RestartEmpty(planner, 6, seconds(3));
   world.Run(planner, seconds(60));
-  EXPECT_LE(MostLoads(world, back), MostLoadsAllowed(world));
+  EXPECT_LE(MaxLoads(world, back), MaxLoadsAllowed(world));
   EXPECT_EQ(world.mPool.Serving("big"), 6U);
   EXPECT_EQ(world.mPool.Serving("small"), 6U);
 }
@@ -86,7 +86,7 @@
     GroupPlanner next;
     world.Run(next, milliseconds(500), fence); // each releases the lease when it stops
   }
-  EXPECT_LE(MostLoads(world, back), MostLoadsAllowed(world));
+  EXPECT_LE(MaxLoads(world, back), MaxLoadsAllowed(world));
   GroupPlanner last;
   world.Run(last, seconds(60), 22);
   EXPECT_EQ(world.mPool.Serving("big"), 6U);
--- a/src/pepperbay/placement/group_planner_orders.cpp
+++ b/src/pepperbay/placement/group_planner_orders.cpp
@@ -175,7 +175,7 @@
     if (unknown && aOrder.mKind == GroupOrderKind::kJoin) {
       mUnansweredJoins[aOrder.mEngine] = { aOrder.mGroup,
                                            aOrder.mEpoch,
-                                           aNow + mOptions.mLateOrder };
+                                           aNow + mOptions.mLateOrderWindow };
     }
     return;
   }
@@ -191,7 +191,7 @@
     if (aOrder.mKind == GroupOrderKind::kJoin && !IsSpareGroup(aOrder.mGroup)) {
       mUnansweredJoins[aOrder.mEngine] = { aOrder.mGroup,
                                            aOrder.mEpoch,
-                                           aNow + mOptions.mLateOrder };
+                                           aNow + mOptions.mLateOrderWindow };
     }
     if (aAnswer == OrderAnswer::kNone && ++pending.mUnanswered >= mOptions.mMaxUnanswered) {
       mUnanswering.insert(aOrder.mEngine);
--- a/src/pepperbay/placement/group_planner_survivors.cpp
+++ b/src/pepperbay/placement/group_planner_survivors.cpp
@@ -193,7 +193,7 @@
     const double after = ModelSlotUtilisation(model, given[model] + 1);
     // A model without enough remaining slots would refuse as many requests as the other model
     // gains.
-    const bool hasRoom = after <= mOptions.mRoomToGive ||
+    const bool hasRoom = after <= mOptions.mMaxServingDonorUtilisation ||
                          (after <= 1.0 && after < ModelSlotUtilisation(aTarget.mModel, 0));
     if (gives >= lacks || it.mReady == 0 || !hasRoom) {
       continue;
--- a/src/pepperbay/placement/planner.cpp
+++ b/src/pepperbay/placement/planner.cpp
@@ -79,7 +79,7 @@
       }
       const proto::Profile& wanted = *profile->second.mProfile;
       const bool newest = it.Assigned().model_version() == wanted.model_version();
-      if (!newest || VersionFailed(wanted) || mNotedFailures.count(wanted.name()) > 0) {
+      if (!newest || VersionFailed(wanted) || mReportedFailures.count(wanted.name()) > 0) {
         continue;
       }
       for (const auto& member : it.Assigned().members()) {
@@ -94,7 +94,7 @@
           note.set_fence(mIn.mFence);
           note.set_profile(wanted.name());
           note.set_model_version(wanted.model_version());
-          mNotedFailures.insert(wanted.name());
+          mReportedFailures.insert(wanted.name());
           break;
         }
       }
@@ -556,7 +556,7 @@
 
   PlanOutcome mOut;
   std::set<std::string> mTouched;
-  std::set<std::string> mNotedFailures;
+  std::set<std::string> mReportedFailures;
   std::set<std::string> mSurge;
 };
 
