--- a/scripts/mutants/late.sh
+++ b/scripts/mutants/late.sh
@@ -15,7 +15,7 @@
   's/if \(mCore->Now\(\) >= aPlan.mMissesValidUntil\)/if (false)/' \
   relay_relay_test '*AMissInAConfiguration*'
 mutant "any number of orders at once" $c/coordinator_pools.cpp \
-  's/view.mMostOrders = .*//' coordinator_coordinator_many_engines_test '*APoolForms*'
+  's/view.mMaxOrders = .*//' coordinator_coordinator_many_engines_test '*APoolForms*'
 mutant "the window of calls does not shrink" $c/engine_calls.cpp \
   's/mWindow = std::max\(mWindow \/ 2, mOptions.mMinWindow\);//' coordinator_engine_calls_test '*Fewer*'
 mutant "a late end is the engine's silence" $c/engine_calls.cpp \
@@ -24,7 +24,7 @@
   's/if \(!answered \&\& unheard\)/if (false)/' coordinator_engine_suspicions_test '*CouldNotBeHeard*'
 mutant "an unread order counts as unanswered" $s/placement/group_planner_orders.cpp \
   's/aAnswer == OrderAnswer::kNone \&\& \+\+pending/++pending/' \
-  placement_group_planner_test '*CouldNotBeHeard*'
+  placement_group_planner_test '*ReadTooLate*'
 mutant "the client looks at the time first" $s/http/client.cpp \
   's/const TimePoint looked = mOptions.mNow\(\);/const TimePoint looked = mOptions.mNow(); GiveUp(looked);/' \
   http_http_test '*ThoughItsTimeIsOver*'
--- a/scripts/mutants/shared_pool.sh
+++ b/scripts/mutants/shared_pool.sh
@@ -72,28 +72,28 @@
   's/  if \(IsIn\(aOrder.mGroup, aOrder.mEpoch\)\) \{/  if (true) {/' \
   placement_engine_state_test '*OlderEpoch*'
 mutant "an old registration comes back" $groups/engine_state.cpp \
-  's/aPlace.mEpoch > std::max\(mLeft, mPlace.mEpoch\)/true/' placement_engine_state_test '*StandsStill*'
+  's/aPosition.mEpoch > std::max\(mLeft, mPosition.mEpoch\)/true/' placement_engine_state_test '*OutdatedRegistration*'
 mutant "a leave that names no number proves that one has left" $groups/engine_state.cpp \
   's/aOrder.mAccepted \? OrderProof::kDone : OrderProof::kAlreadySo;/OrderProof::kDone;/; s/\*aOrder.mAccepted \+ 1;/aOrder.mAccepted.value_or(mAccepted) + 1;/' \
   placement_engine_state_test '*WithoutANumber*'
 mutant "an open that is in progress is counted again" $groups/engine_state.cpp \
-  's/Doubt\(mAccepted \+ 1, aNow\);/++mAccepted;/' placement_engine_state_test '*AnOpen*'
+  's/InvalidateAccepted\(mAccepted \+ 1, aNow\);/++mAccepted;/' placement_engine_state_test '*AnOpen*'
 mutant "a number that was refused is taken again" $groups/engine_state.cpp \
-  's/\*aOrder.mAccepted \+ 1 : mAccepted/0 : 0/' placement_engine_state_test '*WasRefused*'
+  's/\*aOrder.mAccepted \+ 1 : mAccepted/0 : 0/' placement_engine_state_test '*RefusedNumber*'
 mutant "a late answer brings a membership back" $groups/engine_state.cpp \
-  's/aOrder.mEpoch < mPlace.mEpoch \|\| aOrder.mEpoch <= mLeft/false/' \
+  's/aOrder.mEpoch < mPosition.mEpoch \|\| aOrder.mEpoch <= mLeft/false/' \
   placement_engine_state_test '*LateAnswer*'
 mutant "an order to stage that was lost counts" $groups/group_planner_orders.cpp \
   's/if \(aOrder.mKind == GroupOrderKind::kStage \&\& !taken\)/if (false)/' \
-  placement_group_planner_places_test '*ToStage*'
+  placement_group_planner_positions_test '*ToStage*'
 mutant "late joins are forgotten" $groups/group_planner.cpp \
-  's/return it != mLostJoins.end\(\) .*/return false;/' placement_group_planner_test '*NeverServes*'
+  's/return it != mUnansweredJoins.end\(\) .*/return false;/' placement_group_planner_test '*NeverServes*'
 mutant "loads of joins are not counted" $groups/group_planner_orders.cpp \
-  's/MayBringWeights\(aOrder\) \&\& Guard/Guard/' placement_group_planner_test '*LoadsKeep*'
+  's/MayLoadWeights\(aOrder\) \&\& GuardJoin/GuardJoin/' placement_group_planner_test '*LoadsKeep*'
 mutant "a lease is held without its record" $s/lease/log_lease.cpp \
   's/if \(!aResult.value\(\).mAppended\)/if (false)/' lease_log_lease_test '*NeverHeldTwice*'
 mutant "an engine that was replaced is forgiven" $groups/group_planner_orders.cpp \
-  's/mGone.insert\(aOrder.mEngine\);/mUnanswering.insert(aOrder.mEngine);/' \
+  's/mSupersededEngines.insert\(aOrder.mEngine\);/mUnanswering.insert(aOrder.mEngine);/' \
   placement_group_planner_test '*BelongsToAnother*'
 mutant "any node gives orders" $s/coordinator/coordinator_pools.cpp \
   's/return mLease.Held\(\) \|\| .*/return true;/' coordinator_coordinator_test '*OneNodeOrders*'
@@ -127,7 +127,7 @@
 mutant "second attempts of a desk without a budget" $s/places/place_agent.cpp \
   's/return EarnedOf\(aService\).Take\(Now\(\)\);/return true;/' places_place_agent_test '*SecondAttemptsStay*'
 mutant "a full model gives its replicas up" $groups/group_planner_survivors.cpp \
-  's/after <= mOptions.mRoomToGive \|\|/true ||/' \
+  's/after <= mOptions.mMaxServingDonorUtilisation \|\|/true ||/' \
   placement_group_planner_survivors_test '*WithoutRoom*'
 mutant "a replica that is given up ends at once" $groups/group_planner.cpp \
   's/return mView->mInFlight\(head\) > 0 \&\& !standsStill \&\& !waited;/return false;/; s/const bool (standsStill|waited) =/[[maybe_unused]] const bool \1 =/' \
--- a/src/pepperbay/coordinator/coordinator.cpp
+++ b/src/pepperbay/coordinator/coordinator.cpp
@@ -50,7 +50,7 @@
   EngineSuspicionsOptions options;
   options.mAskTimeout = aOptions.mAskTimeout;
   options.mAskAgain = aOptions.mAskAgain;
-  options.mMaxPause = aOptions.mPlanner.mPauseMost;
+  options.mMaxPause = aOptions.mPlanner.mMaxPause;
   options.mAskState = aOptions.mAskState;
   return options;
 }
--- a/src/pepperbay/coordinator/coordinator_pools.cpp
+++ b/src/pepperbay/coordinator/coordinator_pools.cpp
@@ -59,10 +59,10 @@
   view.mPool = &*aService.mPool;
   view.mNow = Now();
   view.mFence = mLease.Fence();
-  view.mMostOrders = mCalls.RoomForOrders();
+  view.mMaxOrders = mCalls.RoomForOrders();
   view.mTraffic = mTraffic;
-  view.mDead = [this](const std::string& aEngine) { return mEngineSuspicions.IsLost(aEngine); };
-  view.mEnded = [this](const std::string& aEngine) { return mEngineSuspicions.HasExited(aEngine); };
+  view.mIsUnreachable = [this](const std::string& aEngine) { return mEngineSuspicions.IsLost(aEngine); };
+  view.mHasExited = [this](const std::string& aEngine) { return mEngineSuspicions.HasExited(aEngine); };
   // Computed on demand: most rounds need it for no head, some for every head of the pool.
   std::optional<std::unordered_map<std::string, int>> others;
   view.mInFlight = [this, &others](const std::string& aHead) {
@@ -83,7 +83,7 @@
   view.mInFlightAtFormerHead = [this](const std::string& aGroup, std::uint64_t aEpoch) {
     return InFlightAtFormerHead(aGroup, aEpoch);
   };
-  view.mStandsStill = [this](const std::string& aHead) {
+  view.mIsStalled = [this](const std::string& aHead) {
     const auto it = mSilentHeads.find(aHead);
     return it != mSilentHeads.end() && Now() - it->second < kSilenceReportLifetime;
   };
@@ -201,7 +201,7 @@
 Coordinator::Impl::QueryPlannedEngines(const GroupPlanner& aPlanner)
 {
   using IfSilent = EngineSuspicions::IfSilent;
-  for (const auto& [id, engine] : aPlanner.Wanted()) {
+  for (const auto& [id, engine] : aPlanner.EnginesToQuery()) {
     const bool lapsed = mDirectory.Find(id) == nullptr;
     mEngineSuspicions.AskOnce(engine, lapsed ? IfSilent::kSuspect : IfSilent::kIgnore);
   }
@@ -329,7 +329,7 @@
   const auto planner = mPlanners.find(aEngine.mService);
   if (!aVerdict.mLostBy) {
     if (planner != mPlanners.end()) {
-      planner->second.Forgive(aEngine.mId);
+      planner->second.ReinstateEngine(aEngine.mId);
     }
     return;
   }
--- a/src/pepperbay/coordinator/engine_suspicions.hpp
+++ b/src/pepperbay/coordinator/engine_suspicions.hpp
@@ -29,7 +29,7 @@
   /// Interval of probes of engines that are only silent: they may resume at any moment.
   Duration mAskSilent = std::chrono::milliseconds(200);
   /// Longest silence of a healthy engine.
-  Duration mMaxPause = GroupPlannerOptions().mPauseMost;
+  Duration mMaxPause = GroupPlannerOptions().mMaxPause;
   /// An engine's status is some 200 ms old when it reports it, so more frequent requests add
   /// little.
   Duration mAskState = std::chrono::milliseconds(250);
--- a/src/pepperbay/placement/composition_test.cpp
+++ b/src/pepperbay/placement/composition_test.cpp
@@ -18,51 +18,52 @@
   return { aModel, aSize, aReplicas, aInUse };
 }
 
-/// Pattern: the smaller model is asked for more than its places hold, the larger one is hardly
-/// asked for. Guards against callers of one model waiting beside idle engines of the other.
+/// The smaller model has more demand than slots, the larger one hardly any. Guards against requests
+/// of one model waiting while engines of the other are idle.
 TEST(Composition, BurstOfTheSmallerModelTakesReplicasOfTheLarger)
 {
-  const auto need = NextTrade({ Use("big", 8, 9, 33), Use("small", 2, 36, 700) }, kSlots, {});
+  const auto need = NextRebalance({ Use("big", 8, 9, 33), Use("small", 2, 36, 700) }, kSlots, {});
   ASSERT_TRUE(need.has_value());
   EXPECT_EQ(need->mFrom, "big");
   EXPECT_EQ(need->mTo, "small");
 }
 
-/// Pattern: the mix turns back. Guards against engines that stay where the last burst put them.
+/// Demand shifts back to the larger model. Guards against engines that stay with the model of the
+/// last burst.
 TEST(Composition, BurstOfTheLargerModelTakesReplicasOfTheSmaller)
 {
-  const auto need = NextTrade({ Use("big", 8, 5, 110), Use("small", 2, 52, 490) }, kSlots, {});
+  const auto need = NextRebalance({ Use("big", 8, 5, 110), Use("small", 2, 52, 490) }, kSlots, {});
   ASSERT_TRUE(need.has_value());
   EXPECT_EQ(need->mFrom, "small");
   EXPECT_EQ(need->mTo, "big");
 }
 
-/// Pattern: both models are full. Guards against one model's callers paying for the other's.
-TEST(Composition, AModelThatIsFullGivesNothing)
+/// Both models are full. Guards against refusing requests of one model for the sake of the other.
+TEST(Composition, AFullModelGivesUpNoReplicas)
 {
   EXPECT_FALSE(
-    NextTrade({ Use("big", 8, 9, 170), Use("small", 2, 36, 1000) }, kSlots, {}).has_value());
+    NextRebalance({ Use("big", 8, 9, 170), Use("small", 2, 36, 1000) }, kSlots, {}).has_value());
 }
 
-/// Guards against a model that is left with fewer replicas than the loss of one allows.
-TEST(Composition, EachModelKeepsItsLeastReplicas)
+/// Guards against leaving a model with so few replicas that it cannot lose one.
+TEST(Composition, EachModelKeepsItsMinimumOfReplicas)
 {
   EXPECT_FALSE(
-    NextTrade({ Use("big", 8, 2, 0), Use("small", 2, 36, 1000) }, kSlots, {}).has_value());
+    NextRebalance({ Use("big", 8, 2, 0), Use("small", 2, 36, 1000) }, kSlots, {}).has_value());
 }
 
-/// Guards against a pool whose operator wants the shares to stand.
-TEST(Composition, SharesStandWhereThePolicySaysSo)
+/// Guards against a change of replicas although the operator has chosen fixed shares.
+TEST(Composition, FixedSharesDisableRebalances)
 {
   CompositionOptions options;
   options.mPolicy = CompositionPolicy::kShares;
-  EXPECT_FALSE(
-    NextTrade({ Use("big", 8, 9, 10), Use("small", 2, 36, 1000) }, kSlots, options).has_value());
+  EXPECT_FALSE(NextRebalance({ Use("big", 8, 9, 10), Use("small", 2, 36, 1000) }, kSlots, options)
+                 .has_value());
 }
 
-/// Guards against flapping: with the same work, no sequence of trades turns back on itself, and
-/// each leaves every model with what it must keep.
-RC_GTEST_PROP(Composition, TradesEndAndDoNotTurnBack, ())
+/// Guards against flapping: under constant demand, no sequence of rebalances reverses itself, and
+/// each leaves every model its minimum of replicas.
+RC_GTEST_PROP(Composition, RebalancesEndAndAreNotReversed, ())
 {
   const auto sizeOf = [] { return *rc::gen::inRange<std::size_t>(1, 17); };
   std::vector<ModelUse> uses;
@@ -76,7 +77,7 @@
   const CompositionOptions options;
   std::set<std::pair<std::string, std::string>> done;
   for (int step = 0; step < 400; ++step) {
-    const auto need = NextTrade(uses, kSlots, options);
+    const auto need = NextRebalance(uses, kSlots, options);
     if (!need) {
       return;
     }
@@ -91,16 +92,16 @@
     const std::size_t gives = from.mSize >= to.mSize ? 1 : (to.mSize + from.mSize - 1) / from.mSize;
     from.mReplicas -= gives;
     to.mReplicas += from.mSize >= to.mSize ? from.mSize / to.mSize : 1;
-    RC_ASSERT(from.mReplicas >= options.mLeastReplicas);
-    RC_ASSERT(PartInUse(from, kSlots) <= options.mMostAfterGiving);
+    RC_ASSERT(from.mReplicas >= options.mMinReplicas);
+    RC_ASSERT(SlotUtilisation(from, kSlots) <= options.mMaxDonorUtilisation);
   }
   RC_FAIL("trades without end");
 }
 
-/// Guards against a decision by the arrivals of one moment.
+/// Guards against decisions based on momentary arrivals.
 TEST(Composition, UseIsAveragedOverTime)
 {
-  PlaceUse use(milliseconds(700));
+  SlotUsage use(milliseconds(700));
   TimePoint now{ seconds(1) };
   use.Observe("small", 100, now);
   now += milliseconds(200);
--- a/src/pepperbay/placement/engine_state.cpp
+++ b/src/pepperbay/placement/engine_state.cpp
@@ -35,7 +35,7 @@
 bool
 EngineState::IsIn(const std::string& aGroup, std::uint64_t aEpoch) const
 {
-  return mPlace.mName == aGroup && mPlace.mEpoch == aEpoch;
+  return mPosition.mName == aGroup && mPosition.mEpoch == aEpoch;
 }
 
 std::optional<std::uint64_t>
@@ -45,9 +45,9 @@
 }
 
 bool
-EngineState::ShouldAsk(TimePoint aNow) const
+EngineState::ShouldQuery(TimePoint aNow) const
 {
-  return !mExact && aNow >= mAskFrom;
+  return !mExact && aNow >= mQueryFrom;
 }
 
 OrderProof
@@ -68,17 +68,18 @@
     case GroupOrderKind::kStage:
       break;
   }
-  // One that is still in progress is answered as begun again.
+  // An order that is still in progress is answered with kBegun again.
   return aAnswer == OrderAnswer::kBegun ? OrderProof::kAccepted : OrderProof::kAlreadySo;
 }
 
 OrderProof
 EngineState::ProofOfJoin(const GroupOrder& aOrder, OrderAnswer aAnswer) const
 {
-  if (aOrder.mEpoch < mPlace.mEpoch || aOrder.mEpoch <= mLeft) {
-    return OrderProof::kIgnored; // a late answer; the engine has been elsewhere since
+  if (aOrder.mEpoch < mPosition.mEpoch || aOrder.mEpoch <= mLeft) {
+    return OrderProof::kIgnored; // a late answer; the engine has moved since
   }
-  // A join that names a number is given only where the engine is not in that membership with it.
+  // A join that carries a number is sent only if the engine is not in that membership at that
+  // number.
   return aAnswer == OrderAnswer::kBegun && aOrder.mAccepted ? OrderProof::kDone
                                                             : OrderProof::kAlreadySo;
 }
@@ -86,13 +87,13 @@
 OrderProof
 EngineState::ProofOfLeave(const GroupOrder& aOrder) const
 {
-  // An engine answers alike whether it has left by this order, had left before, or is in a newer
-  // membership, which the order does not concern. Taken as left in the last case, it would be
-  // ordered elsewhere while it serves.
+  // An engine gives the same answer if it left by this order, had left before, or is in a newer
+  // membership that the order does not concern. If the last case counted as having left, the engine
+  // would be ordered into another replica while it serves.
   if (IsIn(aOrder.mGroup, aOrder.mEpoch)) {
     return aOrder.mAccepted ? OrderProof::kDone : OrderProof::kAlreadySo;
   }
-  return mPlace.mName.empty() ? OrderProof::kAlreadySo : OrderProof::kIgnored;
+  return mPosition.mName.empty() ? OrderProof::kAlreadySo : OrderProof::kIgnored;
 }
 
 OrderProof
@@ -101,27 +102,27 @@
   const OrderProof proof = ProofOf(aOrder, aAnswer);
   switch (proof) {
     case OrderProof::kDone:
-      // The engine had accepted exactly the number that the order names, so it was where it was
-      // known to be with that number, and is where the order has it now.
+      // The engine had accepted exactly the number of orders that the order carries, so it was at
+      // the known position that belongs to that number and is now at the ordered one.
       Apply(aOrder);
       mAccepted = *aOrder.mAccepted + 1;
       mExact = true;
       break;
     case OrderProof::kAccepted:
-      Doubt(mAccepted + 1, aNow);
-      mAskFrom = mLeastUntil;
+      InvalidateAccepted(mAccepted + 1, aNow);
+      mQueryFrom = mMinAcceptedUntil;
       break;
     case OrderProof::kAlreadySo:
       if (MovesEngine(aOrder)) {
         Apply(aOrder);
-        Doubt(mAccepted, aNow);
+        InvalidateAccepted(mAccepted, aNow);
       }
       break;
     case OrderProof::kRefused:
       OnRefused(aOrder, aNow);
       break;
     case OrderProof::kUnknown:
-      Doubt(mAccepted, aNow);
+      InvalidateAccepted(mAccepted, aNow);
       break;
     case OrderProof::kIgnored:
       break;
@@ -141,15 +142,15 @@
 EngineState::Apply(const GroupOrder& aOrder)
 {
   if (aOrder.mKind == GroupOrderKind::kLeave) {
-    mLeft = std::max(mLeft, mPlace.mEpoch);
-    mPlace = GroupPlace{};
+    mLeft = std::max(mLeft, mPosition.mEpoch);
+    mPosition = GroupPlace{};
     return;
   }
   const auto rank = std::find(aOrder.mMembers.begin(), aOrder.mMembers.end(), aOrder.mEngine);
-  mPlace = { aOrder.mGroup,
-             aOrder.mEpoch,
-             static_cast<int>(rank - aOrder.mMembers.begin()),
-             GroupPhase::kJoining };
+  mPosition = { aOrder.mGroup,
+                aOrder.mEpoch,
+                static_cast<int>(rank - aOrder.mMembers.begin()),
+                GroupPhase::kJoining };
 }
 
 void
@@ -159,41 +160,42 @@
     aOrder.mKind == GroupOrderKind::kJoin || aOrder.mKind == GroupOrderKind::kLeave;
   const bool outdated = mExact && aOrder.mAccepted && *aOrder.mAccepted < mAccepted;
   if (moves && !outdated) {
-    Doubt(aOrder.mAccepted ? *aOrder.mAccepted + 1 : mAccepted, aNow);
+    InvalidateAccepted(aOrder.mAccepted ? *aOrder.mAccepted + 1 : mAccepted, aNow);
   }
 }
 
 void
-EngineState::Doubt(std::uint64_t aLeast, TimePoint aNow)
+EngineState::InvalidateAccepted(std::uint64_t aMinAccepted, TimePoint aNow)
 {
   mExact = false;
-  mLeast = std::max(aNow < mLeastUntil ? mLeast : 0, aLeast);
-  mLeastUntil = aNow + kReportAge;
-  mAskFrom = aNow;
+  mMinAccepted = std::max(aNow < mMinAcceptedUntil ? mMinAccepted : 0, aMinAccepted);
+  mMinAcceptedUntil = aNow + kMaxReportAge;
+  mQueryFrom = aNow;
 }
 
 void
-EngineState::OnReport(const GroupPlace& aPlace, std::uint64_t aAccepted, TimePoint aNow)
+EngineState::OnReport(const GroupPlace& aPosition, std::uint64_t aAccepted, TimePoint aNow)
 {
-  const bool fewer = mExact ? aAccepted < mAccepted : aNow < mLeastUntil && aAccepted < mLeast;
-  const bool older = !aPlace.mName.empty() && aPlace.mEpoch < mPlace.mEpoch;
+  const bool fewer =
+    mExact ? aAccepted < mAccepted : aNow < mMinAcceptedUntil && aAccepted < mMinAccepted;
+  const bool older = !aPosition.mName.empty() && aPosition.mEpoch < mPosition.mEpoch;
   if (fewer || older) {
-    return; // of before what is known
+    return; // older than the known state
   }
-  mPlace = aPlace;
+  mPosition = aPosition;
   mAccepted = aAccepted;
   mExact = true;
 }
 
 void
-EngineState::OnRegistration(const GroupPlace& aPlace)
+EngineState::OnRegistration(const GroupPlace& aPosition)
 {
-  if (aPlace.mName == mRegistered.mName && aPlace.mEpoch == mRegistered.mEpoch) {
-    return; // it says what it said before, which may have been long ago
+  if (aPosition.mName == mRegistered.mName && aPosition.mEpoch == mRegistered.mEpoch) {
+    return; // unchanged, so possibly long out of date
   }
-  mRegistered = aPlace;
-  if (!aPlace.mName.empty() && aPlace.mEpoch > std::max(mLeft, mPlace.mEpoch)) {
-    mPlace = aPlace;
+  mRegistered = aPosition;
+  if (!aPosition.mName.empty() && aPosition.mEpoch > std::max(mLeft, mPosition.mEpoch)) {
+    mPosition = aPosition;
     mExact = false;
   }
 }
--- a/src/pepperbay/placement/group_planner.cpp
+++ b/src/pepperbay/placement/group_planner.cpp
@@ -58,7 +58,7 @@
 
 GroupPlanner::GroupPlanner(GroupPlannerOptions aOptions)
   : mOptions(aOptions)
-  , mPlaceUse(aOptions.mComposition.mMemory)
+  , mSlotUsage(aOptions.mComposition.mAveragingTime)
 {
 }
 
@@ -67,24 +67,24 @@
 {
   mView = &aView;
   mOrders.clear();
-  mLookedAt = 0;
+  mEnginesExamined = 0;
   for (const auto& [id, engine] : *aView.mEngines) {
     mByDomain[engine.mDomain].push_back(&engine);
   }
-  NoteStarts();
-  LearnStanding();
-  WantUnknown();
+  DetectRestarts();
+  DiscoverReplicas();
+  RequestUnknownStates();
   RememberMembers();
   for (auto& [name, replica] : mReplicas) {
-    Judge(replica);
+    CheckReplica(replica);
   }
   RepairBroken();
   if (mView->mTraffic && ObserveUse()) {
-    TradeReplicas();
+    RebalanceReplicas();
   }
   FormNew();
-  Drive();
-  CareForSpares();
+  AdvanceReplicas();
+  MaintainSpares();
   mByDomain.clear();
   mView = nullptr;
   return std::exchange(mOrders, {});
@@ -103,11 +103,11 @@
   if (const EngineRecord* engine = FindListed(aEngine)) {
     return engine;
   }
-  const auto known = mKnown.find(aEngine);
+  const auto known = mMemberRecords.find(aEngine);
   const auto answered = mAnsweredAt.find(aEngine);
-  const bool answers =
-    answered != mAnsweredAt.end() && mView->mNow - answered->second < mOptions.mUnlistedAnswers;
-  return known != mKnown.end() && answers ? &known->second : nullptr;
+  const bool answers = answered != mAnsweredAt.end() &&
+                       mView->mNow - answered->second < mOptions.mUnlistedAnswerTimeout;
+  return known != mMemberRecords.end() && answers ? &known->second : nullptr;
 }
 
 void
@@ -117,23 +117,23 @@
   for (const auto& [name, replica] : mReplicas) {
     for (const auto& it : replica.mMembers) {
       const EngineRecord* listed = FindListed(it);
-      const auto known = mKnown.find(it);
+      const auto known = mMemberRecords.find(it);
       if (listed != nullptr) {
         members[it] = *listed;
-        mAnsweredAt[it] = mView->mNow; // being listed is as good as an answer
-      } else if (known != mKnown.end()) {
+        mAnsweredAt[it] = mView->mNow; // a listing counts as an answer
+      } else if (known != mMemberRecords.end()) {
         members[it] = known->second;
-        mWanted[it] = known->second;
+        mEnginesToQuery[it] = known->second;
       }
     }
   }
-  mKnown = std::move(members);
-  for (auto it = mGone.begin(); it != mGone.end();) {
-    const bool needed = FindListed(*it) != nullptr || mKnown.count(*it) != 0;
-    it = needed ? std::next(it) : mGone.erase(it);
+  mMemberRecords = std::move(members);
+  for (auto it = mSupersededEngines.begin(); it != mSupersededEngines.end();) {
+    const bool needed = FindListed(*it) != nullptr || mMemberRecords.count(*it) != 0;
+    it = needed ? std::next(it) : mSupersededEngines.erase(it);
   }
   for (auto it = mAnsweredAt.begin(); it != mAnsweredAt.end();) {
-    it = mKnown.count(it->first) == 0 ? mAnsweredAt.erase(it) : std::next(it);
+    it = mMemberRecords.count(it->first) == 0 ? mAnsweredAt.erase(it) : std::next(it);
   }
 }
 
@@ -141,8 +141,8 @@
 GroupPlanner::Usable(const EngineRecord& aEngine) const
 {
   return aEngine.mService == mView->mService && !aEngine.mLeaving &&
-         OfNewestStart(aEngine.mId, aEngine.mBorn) && mUnanswering.count(aEngine.mId) == 0 &&
-         mGone.count(aEngine.mId) == 0 && !mView->mDead(aEngine.mId);
+         IsNewestIncarnation(aEngine.mId, aEngine.mBorn) && mUnanswering.count(aEngine.mId) == 0 &&
+         mSupersededEngines.count(aEngine.mId) == 0 && !mView->mIsUnreachable(aEngine.mId);
 }
 
 bool
@@ -159,7 +159,7 @@
 }
 
 void
-GroupPlanner::LearnStanding()
+GroupPlanner::DiscoverReplicas()
 {
   std::map<std::string, std::vector<const EngineRecord*>> groups;
   std::size_t n = 0;
@@ -169,10 +169,10 @@
     }
     ++n;
     const GroupPlace& place = engine.mGroup;
-    // A registration that stands still would bring back a replica that its engines have left.
-    const GroupPlace& newest = PlaceOf(engine);
+    // An outdated registration would bring back a replica that its engines have left.
+    const GroupPlace& newest = PositionOf(engine);
     const bool outdated = place.mName != newest.mName || place.mEpoch != newest.mEpoch;
-    if (place.mName.empty() || outdated || !OfNewestStart(id, engine.mBorn)) {
+    if (place.mName.empty() || outdated || !IsNewestIncarnation(id, engine.mBorn)) {
       continue;
     }
     if (!engine.mLoadedModels.empty()) {
@@ -180,7 +180,7 @@
     }
     if (IsSpareGroup(place.mName)) {
       if (mLastModel[id].empty()) {
-        continue; // still joining for an earlier holder; it is given a model anew
+        continue; // still joining by order of an earlier holder; it is assigned a model again
       }
       auto& spare = mSpares[id];
       if (place.mEpoch >= spare.mEpoch) {
@@ -202,18 +202,18 @@
 }
 
 void
-GroupPlanner::WantUnknown()
+GroupPlanner::RequestUnknownStates()
 {
-  mWanted.clear();
+  mEnginesToQuery.clear();
   for (const auto& [id, engine] : *mView->mEngines) {
-    if (engine.mService != mView->mService || !mStates[id].ShouldAsk(mView->mNow)) {
+    if (engine.mService != mView->mService || !mStates[id].ShouldQuery(mView->mNow)) {
       continue;
     }
     const bool fresh = engine.mGroup.mName.empty() && engine.mStagedModels.empty();
-    if (fresh && mTakenForNew.insert(id).second) {
-      mStates[id] = EngineState::JustStarted(); // if it has not, it refuses and is asked
+    if (fresh && mAssumedNew.insert(id).second) {
+      mStates[id] = EngineState::JustStarted(); // otherwise it refuses and is queried
     } else if (Usable(engine)) {
-      mWanted[id] = engine;
+      mEnginesToQuery[id] = engine;
     }
   }
 }
@@ -235,7 +235,7 @@
   }
   std::vector<const EngineRecord*> members;
   for (const auto* it : aMembers) {
-    // Registrations are a little old: an engine that has been ordered elsewhere since is no member.
+    // Registrations lag: an engine that has been ordered into another group since is not a member.
     if (it->mGroup.mEpoch == epoch && !InOtherReplica(it->mId, aName)) {
       members.push_back(it);
     }
@@ -255,9 +255,9 @@
     const bool same = replica.mEpoch == epoch && replica.mPhase == ReplicaPhase::kOpen &&
                       headListed && replica.mMembers.front() == head.mId;
     if (same && head.mGroup.mPhase == GroupPhase::kBroken) {
-      Break(replica, "the head says that it is broken", mView->mNow);
+      Break(replica, "the head reports that it is broken", mView->mNow);
     } else if (same && members.size() > replica.mMembers.size()) {
-      SetMembers(replica, IdsOf(members)); // one whose registration had lapsed is back
+      SetMembers(replica, IdsOf(members)); // a member whose registration had lapsed is listed again
     }
     return;
   }
@@ -266,22 +266,23 @@
   replica.mEpoch = epoch;
   replica.mModel = mLastModel[head.mId];
   replica.mDomain = head.mDomain;
-  // It has been so for an unknown time; a head that says it is open serves already.
+  // The replica has been in this state for an unknown time; a head that states that it is open
+  // serves already.
   replica.mSince = mView->mNow - mView->mPool->mFormTime;
   replica.mMembers = IdsOf(members);
   const ModelSpec* model = mView->mPool->FindModel(replica.mModel);
   if (model == nullptr) {
-    return; // of a model that the configuration does not have
+    return; // the model is not in the configuration
   }
   const bool whole = members.size() == model->mSize && headListed;
   const bool open = head.mGroup.mPhase == GroupPhase::kOpen;
-  // A head that says it is open works on without a member that is not listed, until it says
-  // otherwise; Judge() finds the member missing.
+  // A head that states that it is open keeps working without an unlisted member until it states
+  // otherwise. CheckReplica() finds the missing member.
   replica.mPhase = headListed && open ? ReplicaPhase::kOpen : ReplicaPhase::kBroken;
-  replica.mWhy = whole ? "found not open" : "found without all members";
-  replica.mHeadUnknown = !headListed;
+  replica.mWhy = whole ? "discovered before it was open" : "discovered with members missing";
+  replica.mHeadUnlisted = !headListed;
   if (known != mReplicas.end()) {
-    // Another holder has formed it anew, perhaps without some members; they are free.
+    // Another holder has re-formed it, perhaps without some members; those are free.
     RemoveFromIndex(known->second);
   }
   AddToIndex(replica);
@@ -294,12 +295,12 @@
   std::optional<LostMember> silent;
   for (const auto& it : aReplica.mMembers) {
     const EngineRecord* engine = Find(it);
-    const bool answers = !mView->mDead(it) && mUnanswering.count(it) == 0;
+    const bool answers = !mView->mIsUnreachable(it) && mUnanswering.count(it) == 0;
     const bool leaves = engine != nullptr && engine->mLeaving && answers;
     if (leaves || (engine != nullptr && Usable(*engine))) {
       continue;
     }
-    if (HasEnded(it)) {
+    if (HasExited(it)) {
       return LostMember{ it, true };
     }
     silent = silent ? silent : LostMember{ it, false };
@@ -307,32 +308,33 @@
   const ModelSpec* model = mView->mPool->FindModel(aReplica.mModel);
   const bool all = model == nullptr || aReplica.mMembers.size() >= model->mSize;
   if (!silent && !all) {
-    // Its registration may have lapsed in a pause.
+    // The member's registration may have lapsed in a pause.
     const bool waited =
-      aReplica.mLeavingSince && mView->mNow - *aReplica.mLeavingSince >= mOptions.mPauseMost;
+      aReplica.mLeavingSince && mView->mNow - *aReplica.mLeavingSince >= mOptions.mMaxPause;
     return LostMember{ "that is not listed", waited };
   }
   return silent;
 }
 
 bool
-GroupPlanner::HasEnded(const std::string& aMember) const
+GroupPlanner::HasExited(const std::string& aMember) const
 {
-  const bool dead = mView->mDead(aMember);
-  if (dead && (!mView->mEnded || mView->mEnded(aMember))) {
+  const bool dead = mView->mIsUnreachable(aMember);
+  if (dead && (!mView->mHasExited || mView->mHasExited(aMember))) {
     return true;
   }
   const auto answered = mAnsweredAt.find(aMember);
   if (answered == mAnsweredAt.end()) {
-    return true; // of a start that has been replaced
+    return true; // a stale incarnation
   }
   const EngineRecord* engine = Find(aMember);
   if (engine == nullptr) {
-    // No registration and no answer: the platform and this node have both lost it.
-    return mView->mNow - answered->second >= mOptions.mUnlistedAnswers + mOptions.mPauseMost;
+    // Neither a registration nor an answer: both the platform and this node have lost contact with
+    // it.
+    return mView->mNow - answered->second >= mOptions.mUnlistedAnswerTimeout + mOptions.mMaxPause;
   }
-  return mGone.count(aMember) != 0 || engine->mService != mView->mService ||
-         !OfNewestStart(aMember, engine->mBorn);
+  return mSupersededEngines.count(aMember) != 0 || engine->mService != mView->mService ||
+         !IsNewestIncarnation(aMember, engine->mBorn);
 }
 
 bool
@@ -340,15 +342,15 @@
 {
   return std::any_of(
     aReplica.mMembers.begin(), aReplica.mMembers.end(), [this](const std::string& aMember) {
-      const bool silent = mView->mDead(aMember) || mUnanswering.count(aMember) != 0;
-      return silent && !HasEnded(aMember);
+      const bool silent = mView->mIsUnreachable(aMember) || mUnanswering.count(aMember) != 0;
+      return silent && !HasExited(aMember);
     });
 }
 
 bool
-GroupPlanner::IsToLeave(const PlannedReplica& aReplica) const
+GroupPlanner::MustDrain(const PlannedReplica& aReplica) const
 {
-  // Requests may not go to an engine whose registration is gone, and they go to the head.
+  // Requests must not go to an engine without a registration, and they go to the head.
   if (aReplica.mGivenUp || FindListed(aReplica.mMembers.front()) == nullptr) {
     return true;
   }
@@ -360,22 +362,22 @@
 }
 
 void
-GroupPlanner::Judge(PlannedReplica& aReplica)
+GroupPlanner::CheckReplica(PlannedReplica& aReplica)
 {
   if (aReplica.mPhase == ReplicaPhase::kBroken) {
     return;
   }
   const std::optional<LostMember> lost = FindLost(aReplica);
   aReplica.mMemberLost = lost.has_value();
-  if (!lost && !IsToLeave(aReplica)) {
+  if (!lost && !MustDrain(aReplica)) {
     aReplica.mLeavingSince.reset();
     return;
   }
   std::string why = "a member leaves";
   if (lost) {
-    why = (lost->mEnded ? "lost member " : "silent member ") + lost->mName;
+    why = (lost->mHasExited ? "lost member " : "silent member ") + lost->mName;
   } else if (aReplica.mGivenUp) {
-    why = "its engines are needed by another";
+    why = "its engines are needed by another replica";
   }
   if (aReplica.mPhase != ReplicaPhase::kOpen) {
     Break(aReplica, std::move(why), mView->mNow);
@@ -385,30 +387,30 @@
     aReplica.mLeavingSince = mView->mNow;
   }
   aReplica.mWhy = why;
-  // A member that is only silent may go on, and all streams with it.
-  const bool mayGoOn = lost && !lost->mEnded;
-  if (!mayGoOn && !WorksOn(aReplica)) {
+  // A member that is only silent may continue, and all streams with it.
+  const bool mayGoOn = lost && !lost->mHasExited;
+  if (!mayGoOn && !HasRequestsInProgress(aReplica)) {
     Break(aReplica, std::move(why), mView->mNow);
   }
 }
 
 bool
-GroupPlanner::WorksOn(const PlannedReplica& aReplica) const
+GroupPlanner::HasRequestsInProgress(const PlannedReplica& aReplica) const
 {
-  // The first member that joins anew ends the group, and with it every stream that is being
-  // written there. A member that has stopped listening works on for its head until that has
-  // nothing in progress; one that has died shows by streams that stand still.
+  // The first member that joins again ends the group and all its streams in progress. A member that
+  // stopped listening keeps working until its head has no requests in progress; a member that has
+  // exited shows by streams that make no progress.
   const std::string& head = aReplica.mMembers.front();
-  const bool standsStill = aReplica.mMemberLost && mView->mStandsStill(head);
-  const bool waited = mView->mNow - *aReplica.mLeavingSince >= mOptions.mDrainMost;
+  const bool standsStill = aReplica.mMemberLost && mView->mIsStalled(head);
+  const bool waited = mView->mNow - *aReplica.mLeavingSince >= mOptions.mMaxDrainTime;
   return mView->mInFlight(head) > 0 && !standsStill && !waited;
 }
 
 bool
-GroupPlanner::UnknownHeadWorks(const PlannedReplica& aReplica) const
+GroupPlanner::UnlistedHeadHasRequests(const PlannedReplica& aReplica) const
 {
-  const bool asks = aReplica.mHeadUnknown && mView->mInFlightAtFormerHead;
-  return asks && mView->mNow - aReplica.mSince < mOptions.mDrainMost &&
+  const bool asks = aReplica.mHeadUnlisted && mView->mInFlightAtFormerHead;
+  return asks && mView->mNow - aReplica.mSince < mOptions.mMaxDrainTime &&
          mView->mInFlightAtFormerHead(aReplica.mName, aReplica.mEpoch) > 0;
 }
 
@@ -425,32 +427,33 @@
 bool
 GroupPlanner::IsFree(const EngineRecord& aEngine) const
 {
-  return !InReplica(aEngine.mId) && !IsElsewhere(aEngine, "");
+  return !InReplica(aEngine.mId) && !IsInOtherReplica(aEngine, "");
 }
 
 const GroupPlace&
-GroupPlanner::PlaceOf(const EngineRecord& aEngine) const
+GroupPlanner::PositionOf(const EngineRecord& aEngine) const
 {
   const auto it = mStates.find(aEngine.mId);
-  return it == mStates.end() ? aEngine.mGroup : it->second.Place();
+  return it == mStates.end() ? aEngine.mGroup : it->second.Position();
 }
 
 bool
-GroupPlanner::IsElsewhere(const EngineRecord& aEngine, const std::string& aGroup) const
+GroupPlanner::IsInOtherReplica(const EngineRecord& aEngine, const std::string& aGroup) const
 {
-  const std::string& group = PlaceOf(aEngine).mName;
+  const std::string& group = PositionOf(aEngine).mName;
   return !group.empty() && !IsSpareGroup(group) && group != aGroup;
 }
 
 bool
-GroupPlanner::InDoubt(const std::string& aEngine, const std::string& aGroup) const
-{
-  // An engine that left a join unanswered may carry it out seconds later. Ordered elsewhere in the
-  // meantime, it could enter the first replica and, before its registration shows that, be taken
-  // out of it again by the second join while that replica serves. Any join that it answers makes
-  // the late one too old to be carried out.
-  const auto it = mLostJoins.find(aEngine);
-  return it != mLostJoins.end() && it->second.mGroup != aGroup && mView->mNow < it->second.mUntil;
+GroupPlanner::MayJoinLate(const std::string& aEngine, const std::string& aGroup) const
+{
+  // An engine that left a join unanswered may carry it out seconds later. If it were ordered
+  // elsewhere meanwhile, it could enter the first replica, and the second join could then take it
+  // out while that replica serves, before its registration shows the first join. Once the engine
+  // answers any join, the late one is too old to be carried out.
+  const auto it = mUnansweredJoins.find(aEngine);
+  return it != mUnansweredJoins.end() && it->second.mGroup != aGroup &&
+         mView->mNow < it->second.mUntil;
 }
 
 bool
--- a/src/pepperbay/placement/group_planner_composition_test.cpp
+++ b/src/pepperbay/placement/group_planner_composition_test.cpp
@@ -5,7 +5,7 @@
 namespace pepperbay {
 namespace {
 
-/// A pool of 18 engines a domain: one replica of eight, four of two, two spares.
+/// A pool with 18 engines per domain: one replica of eight, four of two, and two spares.
 EnginePool
 PairsAndEights()
 {
@@ -22,10 +22,10 @@
 constexpr std::size_t kDomains = 5;
 constexpr std::size_t kPerDomain = 18;
 
-/// A pool whose hosts hold the weights that they are to hold, with callers for it.
-struct TurningWorld : World
+/// A pool whose hosts have staged all their weights, under load from callers.
+struct ChangingDemandWorld : World
 {
-  TurningWorld()
+  ChangingDemandWorld()
     : World(kDomains, kPerDomain, PairsAndEights())
   {
     Run(mPlanner, kAllStaged, 1, milliseconds(100));
@@ -33,10 +33,13 @@
     mStreamsLast = milliseconds(1600);
   }
 
-  /// Requests in progress at all replicas of each model, spread evenly over those that serve.
-  void Ask(int aBig, int aSmall, Duration aFor) { Ask(mPlanner, 1, aBig, aSmall, aFor); }
+  /// Sets the requests in progress of each model, spread evenly over its serving replicas.
+  void SetDemand(int aBig, int aSmall, Duration aFor)
+  {
+    SetDemand(mPlanner, 1, aBig, aSmall, aFor);
+  }
 
-  void Ask(GroupPlanner& aPlanner, std::uint64_t aFence, int aBig, int aSmall, Duration aFor)
+  void SetDemand(GroupPlanner& aPlanner, std::uint64_t aFence, int aBig, int aSmall, Duration aFor)
   {
     const auto share = [this](int aAll, const char* aModel) {
       return aAll / std::max(1, static_cast<int>(mPool.Serving(aModel)));
@@ -50,82 +53,81 @@
   GroupPlanner mPlanner;
 };
 
-/// Pattern: the smaller model is asked for 1.6 times what its places hold. Guards against callers
-/// of one model who all wait while engines of the other have nothing to do.
+/// The demand for the smaller model is 1.6 times its slots. Guards against requests of one model
+/// waiting while engines of the other are idle.
 TEST(GroupPlannerComposition, BurstOfTheSmallerModelIsServedByEnginesOfTheLarger)
 {
-  TurningWorld world;
+  ChangingDemandWorld world;
   ASSERT_EQ(world.mPool.Serving("big"), 5U);
   ASSERT_EQ(world.mPool.Serving("small"), 20U);
   const std::size_t loads = world.mPool.Loads().size();
-  world.Ask(15, 440, seconds(6));
+  world.SetDemand(15, 440, seconds(6));
   EXPECT_LE(world.mPool.Serving("big"), 4U);
   EXPECT_GE(world.mPool.Serving("small"), 24U);
-  EXPECT_GE(world.mPool.Serving("big"), 2U) << "the least that a model keeps";
+  EXPECT_GE(world.mPool.Serving("big"), 2U) << "the minimum of replicas per model";
   EXPECT_LE(world.mPool.Loads().size() - loads, 60U);
   EXPECT_TRUE(world.mPool.Violations().empty()) << world.mPool.Violations().front();
 }
 
-/// Pattern: the mix turns, and turns back. Guards against engines that stay where the last burst
-/// put them.
+/// Demand shifts to one model and back. Guards against engines that stay with the model of the last
+/// burst.
 TEST(GroupPlannerComposition, EnginesComeBackWhenTheMixTurnsBack)
 {
-  TurningWorld world;
-  world.Ask(15, 440, seconds(30));
+  ChangingDemandWorld world;
+  world.SetDemand(15, 440, seconds(30));
   const std::size_t big = world.mPool.Serving("big");
   ASSERT_LT(big, 5U);
-  world.Ask(120, 80, seconds(30));
+  world.SetDemand(120, 80, seconds(30));
   EXPECT_GT(world.mPool.Serving("big"), big);
   EXPECT_GE(world.mPool.Serving("small"), 8U);
   EXPECT_TRUE(world.mPool.Violations().empty()) << world.mPool.Violations().front();
 }
 
-/// Pattern: demand that stays as it is. Guards against replicas that are given up and formed anew
-/// for ever.
+/// Constant demand. Guards against replicas that are given up and re-formed endlessly.
 TEST(GroupPlannerComposition, SteadyDemandMovesNothingAfterAWhile)
 {
-  TurningWorld world;
-  world.Ask(15, 340, seconds(20));
+  ChangingDemandWorld world;
+  world.SetDemand(15, 340, seconds(20));
   world.mPlanner.TakeChanges();
-  world.Ask(15, 340, seconds(60));
+  world.SetDemand(15, 340, seconds(60));
   EXPECT_TRUE(world.mPlanner.TakeChanges().empty());
 }
 
-/// Guards against streams that are cut by a change of composition: engines leave a replica when its
-/// streams have ended, and not before.
+/// Guards against streams cut by a change of composition: engines leave a replica only after its
+/// streams have completed.
 TEST(GroupPlannerComposition, AReplicaThatIsGivenUpEndsItsStreamsFirst)
 {
-  TurningWorld world;
+  ChangingDemandWorld world;
   world.mStreamsLast = seconds(3);
   world.mGiven.clear();
-  world.Ask(15, 440, milliseconds(2500));
+  world.SetDemand(15, 440, milliseconds(2500));
   EXPECT_FALSE(world.mPlanner.TakeChanges().empty());
   EXPECT_EQ(world.mGiven[GroupOrderKind::kLeave], 0);
   EXPECT_EQ(world.mPool.Serving("big"), 5U);
 }
 
-/// Pattern: demand turns back while replicas are only about to be given up. Guards against a model
+/// Demand shifts back while replicas that are to be given up still serve. Guards against a model
 /// that waits for engines which still serve it.
-TEST(GroupPlannerComposition, ReplicasThatStillServeAreTakenBack)
+TEST(GroupPlannerComposition, ReplicasThatStillServeAreKept)
 {
-  TurningWorld world;
+  ChangingDemandWorld world;
   world.mStreamsLast = seconds(7);
-  world.Ask(15, 440, seconds(2));
+  world.SetDemand(15, 440, seconds(2));
   ASSERT_FALSE(world.mPlanner.TakeChanges().empty());
-  world.Ask(120, 60, seconds(4));
+  world.SetDemand(120, 60, seconds(4));
   for (const auto& [name, replica] : world.mPlanner.Replicas()) {
     EXPECT_FALSE(replica.mModel == "big" && replica.mGivenUp) << name;
   }
 }
 
-/// Pattern: most heads of one model name a limit, so that their slots look idle. Guards against
-/// taking replicas of the very model that is short of them.
-TEST(GroupPlannerComposition, AModelWhoseHeadsAreLimitedGivesNothing)
+/// Most heads of one model state a rate limit, so that their slots look idle. Guards against taking
+/// replicas of the model that is short of slots.
+TEST(GroupPlannerComposition, AModelWithRateLimitedHeadsGivesUpNoReplicas)
 {
   EnginePool pool = PairsAndEights();
   pool.mStepTime = milliseconds(8);
   pool.mUsualAnswer = 150;
-  TurningWorld world;
+  ChangingDemandWorld world;
   world.mPool.SetPool(pool);
   int limited = 0;
   for (const auto& [name, replica] : world.mPlanner.Replicas()) {
@@ -134,41 +136,40 @@
       ++limited;
     }
   }
-  world.Ask(15, 440, seconds(6));
+  world.SetDemand(15, 440, seconds(6));
   EXPECT_EQ(world.mPool.Serving("big"), 5U);
   world.mLimits.clear();
-  world.Ask(15, 440, seconds(6));
-  EXPECT_LT(world.mPool.Serving("big"), 5U) << "as without limits";
+  world.SetDemand(15, 440, seconds(6));
+  EXPECT_LT(world.mPool.Serving("big"), 5U) << "same result as without limits";
 }
 
-/// Guards against a new holder of the lease that turns back what the last one has begun.
+/// Guards against a new holder of the lease that reverses the changes of the previous one.
 TEST(GroupPlannerComposition, ANewHolderGoesOnFromWhatStands)
 {
-  TurningWorld world;
-  world.Ask(15, 440, seconds(2));
+  ChangingDemandWorld world;
+  world.SetDemand(15, 440, seconds(2));
   GroupPlanner next;
-  world.Ask(next, 2, 15, 440, seconds(20));
+  world.SetDemand(next, 2, 15, 440, seconds(20));
   EXPECT_GE(world.mPool.Serving("small"), 24U);
   EXPECT_GE(world.mPool.Serving("big"), 2U);
   EXPECT_TRUE(world.mPool.Violations().empty()) << world.mPool.Violations().front();
 }
 
-/// Guards against a change of composition while losses go on: no engine in two replicas, none left
-/// over.
+/// Engines are lost during a change of composition. Guards against engines in two replicas and
+/// engines left unused.
 TEST(GroupPlannerComposition, LossesDuringAChangeAreRepaired)
 {
-  TurningWorld world;
-  world.Ask(15, 440, milliseconds(1500));
+  ChangingDemandWorld world;
+  world.SetDemand(15, 440, milliseconds(1500));
   world.Kill(world.MemberOf(world.mPlanner, "small", 1));
   world.Kill(world.MemberOf(world.mPlanner, "big", 3));
-  world.Ask(15, 440, seconds(20));
+  world.SetDemand(15, 440, seconds(20));
   std::size_t serving = 8 * world.mPool.Serving("big") + 2 * world.mPool.Serving("small");
   EXPECT_GE(serving, kDomains * kPerDomain - 2 * kDomains - 10);
   EXPECT_TRUE(world.mPool.Violations().empty()) << world.mPool.Violations().front();
 }
 
-/// Guards against a node that ends because operators drop a model while engines are on their way to
-/// it.
+/// Guards against a crash of the node when operators remove a model while engines are moving to it.
 TEST(GroupPlannerComposition, AModelMayBeDroppedWhileEnginesAreOnTheirWayToIt)
 {
   EnginePool pool = PairsAndEights();
--- a/src/pepperbay/placement/group_planner_orders.cpp
+++ b/src/pepperbay/placement/group_planner_orders.cpp
@@ -15,7 +15,7 @@
   order.mEpoch = aReplica.mEpoch;
   order.mKind = GroupOrderKind::kOpen;
   order.mEngine = aReplica.mMembers.front();
-  Give(order);
+  QueueOrder(order);
 }
 
 void
@@ -31,22 +31,22 @@
   for (const auto& it : aReplica.mMembers) {
     if (aReplica.mReady.count(it) == 0) {
       order.mEngine = it;
-      Give(order);
+      QueueOrder(order);
     }
   }
 }
 
 void
-GroupPlanner::Drive()
+GroupPlanner::AdvanceReplicas()
 {
   std::vector<PlannedReplica*> joining;
   for (auto& [name, replica] : mReplicas) {
     if (replica.mPhase != ReplicaPhase::kForming && replica.mPhase != ReplicaPhase::kOpening) {
       continue;
     }
-    NoteReadiness(replica);
+    UpdateReadiness(replica);
     if (replica.AllReady()) {
-      Open(replica); // before any joins: a round may give only so many orders
+      Open(replica); // before any joins: the number of orders per round is limited
     } else {
       joining.push_back(&replica);
     }
@@ -57,12 +57,12 @@
 }
 
 void
-GroupPlanner::NoteReadiness(PlannedReplica& aReplica)
+GroupPlanner::UpdateReadiness(PlannedReplica& aReplica)
 {
   for (const auto& it : aReplica.mMembers) {
     const EngineRecord* engine = Find(it);
     const GroupPlace& place = engine->mGroup;
-    if (!OfNewestStart(it, engine->mBorn)) {
+    if (!IsNewestIncarnation(it, engine->mBorn)) {
       continue;
     }
     if (place.mName == aReplica.mName && place.mEpoch == aReplica.mEpoch &&
@@ -73,9 +73,9 @@
 }
 
 bool
-GroupPlanner::IsDue(const std::string& aEngine, GroupOrderKind aKind) const
+GroupPlanner::IsOrderDue(const std::string& aEngine, GroupOrderKind aKind) const
 {
-  if (static_cast<int>(mOrders.size()) >= mView->mMostOrders) {
+  if (static_cast<int>(mOrders.size()) >= mView->mMaxOrders) {
     return false;
   }
   const auto it = mPending.find(aEngine + " " + ToString(aKind));
@@ -83,16 +83,16 @@
 }
 
 bool
-GroupPlanner::Give(GroupOrder aOrder)
+GroupPlanner::QueueOrder(GroupOrder aOrder)
 {
-  if (!IsDue(aOrder.mEngine, aOrder.mKind)) {
+  if (!IsOrderDue(aOrder.mEngine, aOrder.mKind)) {
     return false;
   }
   const EngineRecord* engine = Find(aOrder.mEngine);
   if (engine == nullptr) {
     return false;
   }
-  if (aOrder.mKind == GroupOrderKind::kJoin && !(MayBringWeights(aOrder) && Guard(aOrder))) {
+  if (aOrder.mKind == GroupOrderKind::kJoin && !(MayLoadWeights(aOrder) && GuardJoin(aOrder))) {
     return false;
   }
   if (aOrder.mKind == GroupOrderKind::kLeave && !NameAccepted(aOrder)) {
@@ -103,18 +103,19 @@
   pending.mLoads =
     aOrder.mKind == GroupOrderKind::kJoin && JoinTime(*engine, aOrder.mModel) > kRejoinTime;
   aOrder.mAddress = engine->mAddress;
-  const auto start = mStarts.find(aOrder.mEngine);
-  aOrder.mBorn = start == mStarts.end() ? WallTime{} : start->second.mBorn;
+  const auto incarnation = mEngineIncarnations.find(aOrder.mEngine);
+  aOrder.mBorn = incarnation == mEngineIncarnations.end() ? WallTime{} : incarnation->second.mBorn;
   mOrders.push_back(std::move(aOrder));
   return true;
 }
 
 bool
-GroupPlanner::MayBringWeights(const GroupOrder& aOrder)
+GroupPlanner::MayLoadWeights(const GroupOrder& aOrder)
 {
-  // After a whole domain or more has restarted, the joins of its replicas would begin as many loads
-  // as there are engines at once; the store of weights then serves none of them in time. Counted
-  // one by one in the order of the replicas, the first replicas are whole while others still wait.
+  // After the restart of a whole domain or more, the joins of its replicas would start one load per
+  // engine at once, and the weight store would complete none of them in time. Loads are therefore
+  // counted one by one in the order of the replicas, so that the first replicas become whole while
+  // others still wait.
   const EngineRecord& engine = *Find(aOrder.mEngine);
   const auto staging = mStaging.find(aOrder.mEngine);
   const bool onItsWay = staging != mStaging.end() && staging->second.mModel == aOrder.mModel;
@@ -123,7 +124,7 @@
   }
   std::uint64_t& counted = mLoadCounted[aOrder.mEngine];
   if (counted == aOrder.mEpoch) {
-    return true; // a repeat
+    return true; // a repeated order, already counted
   }
   if (!MayLoad()) {
     return false;
@@ -133,18 +134,18 @@
 }
 
 bool
-GroupPlanner::Guard(GroupOrder& aOrder)
+GroupPlanner::GuardJoin(GroupOrder& aOrder)
 {
-  // Two holders can be at work for a moment, one of them with orders still on their way, and
-  // registrations are a little old. Decided on such a view, a join could take an engine out of a
-  // replica that has just opened. The engine itself refuses it when it has accepted any order that
-  // this holder does not know of. A repeat of a join that it has taken needs no guard: it changes
-  // nothing.
+  // Two holders can be active for a short time, one of them with orders in transit, and
+  // registrations lag. A join decided on outdated state could take an engine out of a replica that
+  // has just opened. The engine therefore refuses the join if it has accepted any order unknown to
+  // this holder. A repeat of a join that the engine has accepted changes nothing and needs no
+  // guard.
   const EngineState& state = mStates[aOrder.mEngine];
   if (state.IsIn(aOrder.mGroup, aOrder.mEpoch)) {
     return true;
   }
-  if (IsElsewhere(*Find(aOrder.mEngine), aOrder.mGroup)) {
+  if (IsInOtherReplica(*Find(aOrder.mEngine), aOrder.mGroup)) {
     const auto replica = mReplicas.find(aOrder.mGroup);
     if (replica != mReplicas.end()) {
       Break(replica->second, aOrder.mEngine + " is in another replica", mView->mNow);
@@ -160,7 +161,7 @@
 {
   aOrder.mAccepted = mStates[aOrder.mEngine].Accepted();
   if (!aOrder.mAccepted) {
-    mWanted[aOrder.mEngine] = *Find(aOrder.mEngine);
+    mEnginesToQuery[aOrder.mEngine] = *Find(aOrder.mEngine);
   }
   return aOrder.mAccepted.has_value();
 }
@@ -169,10 +170,12 @@
 GroupPlanner::OnAnswer(const GroupOrder& aOrder, OrderAnswer aAnswer, TimePoint aNow)
 {
   const bool unknown = aAnswer == OrderAnswer::kNone || aAnswer == OrderAnswer::kUnread;
-  if (!OfNewestStart(aOrder.mEngine, aOrder.mBorn)) {
-    // Only what may still come of it matters: a join without an answer may reach the new start.
+  if (!IsNewestIncarnation(aOrder.mEngine, aOrder.mBorn)) {
+    // Only possible later effects matter: a join without an answer may reach the new incarnation.
     if (unknown && aOrder.mKind == GroupOrderKind::kJoin) {
-      mLostJoins[aOrder.mEngine] = { aOrder.mGroup, aOrder.mEpoch, aNow + mOptions.mLateOrder };
+      mUnansweredJoins[aOrder.mEngine] = { aOrder.mGroup,
+                                           aOrder.mEpoch,
+                                           aNow + mOptions.mLateOrderWindow };
     }
     return;
   }
@@ -180,15 +183,17 @@
   pending.mWaiting = false;
   const bool taken = aAnswer == OrderAnswer::kBegun || aAnswer == OrderAnswer::kHolds;
   if (aOrder.mKind == GroupOrderKind::kStage && !taken) {
-    mStaging.erase(aOrder.mEngine); // no weights are known to be on their way; it is told again
+    mStaging.erase(aOrder.mEngine); // the transfer may not have started; the order is repeated
   }
   mStates[aOrder.mEngine].OnAnswer(aOrder, aAnswer, aNow);
   if (unknown) {
-    pending.mDue = aNow; // at once again: the effect may be there or not
+    pending.mDue = aNow; // repeat at once: the order may or may not have taken effect
     if (aOrder.mKind == GroupOrderKind::kJoin && !IsSpareGroup(aOrder.mGroup)) {
-      mLostJoins[aOrder.mEngine] = { aOrder.mGroup, aOrder.mEpoch, aNow + mOptions.mLateOrder };
+      mUnansweredJoins[aOrder.mEngine] = { aOrder.mGroup,
+                                           aOrder.mEpoch,
+                                           aNow + mOptions.mLateOrderWindow };
     }
-    if (aAnswer == OrderAnswer::kNone && ++pending.mUnanswered >= mOptions.mMostUnanswered) {
+    if (aAnswer == OrderAnswer::kNone && ++pending.mUnanswered >= mOptions.mMaxUnanswered) {
       mUnanswering.insert(aOrder.mEngine);
       pending.mUnanswered = 0;
     }
@@ -199,24 +204,24 @@
   const auto replica = mReplicas.find(aOrder.mGroup);
   const bool current = replica != mReplicas.end() && replica->second.mEpoch == aOrder.mEpoch;
   if (aAnswer == OrderAnswer::kOtherEngine) {
-    mGone.insert(aOrder.mEngine);
+    mSupersededEngines.insert(aOrder.mEngine);
     return;
   }
   if (aAnswer == OrderAnswer::kStale && current) {
-    // Something newer was ordered there; form anew under a later epoch.
+    // The engine has seen a newer order; re-form the replica under a later epoch.
     Break(replica->second, "an order was refused as stale by " + aOrder.mEngine, aNow);
     replica->second.mNotBefore = aNow + mOptions.mStalePause;
     return;
   }
   if (aOrder.mKind == GroupOrderKind::kLeave) {
-    return; // what follows from it, its state knows
+    return; // EngineState has handled the answer
   }
   if (aOrder.mKind == GroupOrderKind::kJoin) {
     const bool holds = aAnswer == OrderAnswer::kHolds;
     if (aAnswer == OrderAnswer::kBegun || holds) {
-      const auto lost = mLostJoins.find(aOrder.mEngine);
-      if (lost != mLostJoins.end() && lost->second.mEpoch <= aOrder.mEpoch) {
-        mLostJoins.erase(lost);
+      const auto lost = mUnansweredJoins.find(aOrder.mEngine);
+      if (lost != mUnansweredJoins.end() && lost->second.mEpoch <= aOrder.mEpoch) {
+        mUnansweredJoins.erase(lost);
       }
     }
     if (holds) {
@@ -243,24 +248,25 @@
 GroupPlanner::RepeatAfter(const GroupOrder& aOrder, OrderAnswer aAnswer, bool aLoads) const
 {
   if (aOrder.mKind == GroupOrderKind::kOpen) {
-    return mOptions.mRepeatOpen;
+    return mOptions.mOpenRetryInterval;
   }
   if (aOrder.mKind == GroupOrderKind::kStage) {
-    return mOptions.mAskLoaded; // refused while another load is under way, which takes seconds
+    return mOptions
+      .mLoadPollInterval; // refused while another load is in progress, which takes seconds
   }
   if (aOrder.mKind == GroupOrderKind::kJoin && aAnswer == OrderAnswer::kBegun) {
-    return aLoads ? mOptions.mAskLoaded : mOptions.mAskJoined;
+    return aLoads ? mOptions.mLoadPollInterval : mOptions.mJoinPollInterval;
   }
-  return mOptions.mRepeat;
+  return mOptions.mRetryInterval;
 }
 
 void
 GroupPlanner::OnReport(const std::string& aEngine, const EngineReport& aReport, TimePoint aNow)
 {
-  if (!OfNewestStart(aEngine, aReport.mBorn)) {
-    return; // reports are a little old: this one is of before the engine started again
+  if (!IsNewestIncarnation(aEngine, aReport.mBorn)) {
+    return; // reports lag: this one is from before the engine's restart
   }
-  NoteStart(aEngine, aReport.mBorn, aNow);
+  RecordIncarnation(aEngine, aReport.mBorn, aNow);
   mStates[aEngine].OnReport(aReport.mGroup, aReport.mAccepted, aNow);
   mAnsweredAt[aEngine] = aNow;
   const GroupPlace& place = aReport.mGroup;
@@ -270,30 +276,33 @@
       it->second.HasMember(aEngine)) {
     it->second.mReady.insert(aEngine);
   }
-  BreakIfElsewhere(aEngine, place, aNow);
+  BreakIfInOtherGroup(aEngine, place, aNow);
 }
 
 void
-GroupPlanner::BreakIfElsewhere(const std::string& aEngine, const GroupPlace& aPlace, TimePoint aNow)
+GroupPlanner::BreakIfInOtherGroup(const std::string& aEngine,
+                                  const GroupPlace& aPosition,
+                                  TimePoint aNow)
 {
-  // A member that has started anew, or was ordered away by another holder, answers and does not
-  // work in the replica any more; its head stands still with every member seemingly alive.
+  // A member that has restarted, or that another holder has ordered away, still answers but no
+  // longer works in the replica. The head makes no progress although every member seems to be
+  // alive.
   const auto names = mReplicasOf.find(aEngine);
   if (names == mReplicasOf.end()) {
     return;
   }
   for (const auto& name : names->second) {
     PlannedReplica& replica = mReplicas.at(name);
-    const bool in = aPlace.mName == name && aPlace.mEpoch == replica.mEpoch;
-    const bool settled = aNow - replica.mSince >= 2 * EngineState::kReportAge;
+    const bool in = aPosition.mName == name && aPosition.mEpoch == replica.mEpoch;
+    const bool settled = aNow - replica.mSince >= 2 * EngineState::kMaxReportAge;
     if (replica.mPhase == ReplicaPhase::kOpen && settled && !in) {
-      Break(replica, aEngine + " says that it is not in it", aNow);
+      Break(replica, aEngine + " reports that it is not in this replica", aNow);
     }
   }
 }
 
 void
-GroupPlanner::Forgive(const std::string& aEngine)
+GroupPlanner::ReinstateEngine(const std::string& aEngine)
 {
   mUnanswering.erase(aEngine);
 }
--- a/src/pepperbay/placement/group_planner_spares.cpp
+++ b/src/pepperbay/placement/group_planner_spares.cpp
@@ -6,9 +6,9 @@
 namespace pepperbay {
 
 void
-GroupPlanner::CareForSpares()
+GroupPlanner::MaintainSpares()
 {
-  std::map<std::string, std::map<std::string, int>> standby; // domain and model to spares
+  std::map<std::string, std::map<std::string, int>> standby; // number of spares by domain and model
   std::vector<const EngineRecord*> idle;
   for (const auto& [id, engine] : *mView->mEngines) {
     if (!Usable(engine) || engine.mDomain.empty()) {
@@ -33,7 +33,7 @@
       idle.push_back(&engine);
     }
   }
-  const bool settled = mView->mNow - mLastNew >= mOptions.mSettle || mView->mTraffic;
+  const bool settled = mView->mNow - mLastNew >= mOptions.mSettleTime || mView->mTraffic;
   if (!settled || mOptions.mSpares == SparePolicy::kIdle) {
     return;
   }
@@ -44,7 +44,7 @@
     }
     ++standby[it->mDomain][model];
     if (!it->HasStaged(model)) {
-      if (!IsDue(it->mId, GroupOrderKind::kStage) || !MayLoad()) {
+      if (!IsOrderDue(it->mId, GroupOrderKind::kStage) || !MayLoad()) {
         continue;
       }
       GroupOrder order;
@@ -52,7 +52,7 @@
       order.mFence = mView->mFence;
       order.mEngine = it->mId;
       order.mModel = model;
-      if (Give(order)) {
+      if (QueueOrder(order)) {
         mStaging[it->mId] = { model, mView->mNow };
       }
       continue;
@@ -76,7 +76,8 @@
     if (forAll && spare.mReady && IsFree(*Find(it->first)) && Usable(it->first)) {
       StageOther(*Find(it->first), spare.mModel);
     }
-    if (!spare.mReady && Usable(it->first) && IsFree(*Find(it->first)) && !InDoubt(it->first, "")) {
+    if (!spare.mReady && Usable(it->first) && IsFree(*Find(it->first)) &&
+        !MayJoinLate(it->first, "")) {
       GroupOrder order;
       order.mKind = GroupOrderKind::kJoin;
       order.mFence = mView->mFence;
@@ -85,36 +86,37 @@
       order.mEpoch = spare.mEpoch;
       order.mModel = spare.mModel;
       order.mMembers = { it->first };
-      Give(order);
+      QueueOrder(order);
     }
     ++it;
   }
-  StageAhead();
+  PrestageWeights();
 }
 
 bool
-GroupPlanner::LoadsAheadIn(const std::string& aDomain) const
+GroupPlanner::PrestagesIn(const std::string& aDomain) const
 {
   if (!mView->mTraffic || mDomainsWithLosses.count(aDomain) != 0) {
     return true;
   }
   return std::any_of(mUses.begin(), mUses.end(), [this](const ModelUse& aUse) {
-    return aUse.mReplicas > 0 && PartInUse(aUse, mView->mPool->mSlots) > mOptions.mLoadsAheadUse;
+    return aUse.mReplicas > 0 &&
+           SlotUtilisation(aUse, mView->mPool->mSlots) > mOptions.mPrestageUtilisation;
   });
 }
 
 void
-GroupPlanner::StageAhead()
+GroupPlanner::PrestageWeights()
 {
   if (!mOptions.mJoinSurvivors || mOptions.mSpares != SparePolicy::kStandbyForAll) {
     return;
   }
   const int atOnce = mView->mPool->mLoadsAtOnce;
   const int ahead =
-    std::max(mOptions.mLeastLoadsAhead, static_cast<int>(atOnce * mOptions.mLoadsAheadShare));
+    std::max(mOptions.mMinPrestageLoads, static_cast<int>(atOnce * mOptions.mPrestageShare));
   const int most = mView->mTraffic ? ahead : atOnce;
   for (const auto& [name, replica] : mReplicas) {
-    if (replica.mPhase != ReplicaPhase::kOpen || !LoadsAheadIn(replica.mDomain)) {
+    if (replica.mPhase != ReplicaPhase::kOpen || !PrestagesIn(replica.mDomain)) {
       continue;
     }
     for (const auto& it : replica.mMembers) {
@@ -132,13 +134,13 @@
 void
 GroupPlanner::StageOther(const EngineRecord& aEngine, const std::string& aModel)
 {
-  // A spare joins the model of its last group in 200 ms whatever its host holds. So the weights on
-  // the host can be those of another model, and one spare stands in for two.
+  // A spare joins the model of its last group in 200 ms whatever weights its host holds. The host
+  // can therefore hold the weights of another model, and one spare covers two models.
   for (const auto& it : mView->mPool->mModels) {
     if (it.mName == aModel || aEngine.HasStaged(it.mName) || mStaging.count(aEngine.mId) != 0) {
       continue;
     }
-    if (!IsDue(aEngine.mId, GroupOrderKind::kStage) || !MayLoad()) {
+    if (!IsOrderDue(aEngine.mId, GroupOrderKind::kStage) || !MayLoad()) {
       return;
     }
     GroupOrder order;
@@ -146,7 +148,7 @@
     order.mFence = mView->mFence;
     order.mEngine = aEngine.mId;
     order.mModel = it.mName;
-    if (Give(order)) {
+    if (QueueOrder(order)) {
       mStaging[aEngine.mId] = { it.mName, mView->mNow };
     }
     return;
@@ -156,37 +158,37 @@
 bool
 GroupPlanner::IsAwayFromItsReplicas(const EngineRecord& aEngine) const
 {
-  // A broken replica that lacks engines would keep one that can join only after it has left
-  // another.
+  // A broken replica that lacks engines would claim an engine that can join only after leaving
+  // another replica.
   const auto& names = mReplicasOf.at(aEngine.mId);
   return std::all_of(names.begin(), names.end(), [&](const std::string& aName) {
-    return mReplicas.at(aName).mPhase == ReplicaPhase::kBroken && IsElsewhere(aEngine, aName);
+    return mReplicas.at(aName).mPhase == ReplicaPhase::kBroken && IsInOtherReplica(aEngine, aName);
   });
 }
 
 void
 GroupPlanner::Dismiss(const EngineRecord& aEngine)
 {
-  // It was replaced while nobody could reach it, and by its own word it still belongs to a replica
-  // that may serve. To order it elsewhere now would have it in two at once.
+  // The engine was replaced while it could not be reached, and it states that it still belongs to a
+  // replica that may serve. Ordering it elsewhere now would put it into two replicas at once.
   mSpares.erase(aEngine.mId);
   GroupOrder order;
   order.mKind = GroupOrderKind::kLeave;
   order.mFence = mView->mFence;
   order.mEngine = aEngine.mId;
-  order.mGroup = PlaceOf(aEngine).mName;
-  order.mEpoch = PlaceOf(aEngine).mEpoch;
-  Give(order);
+  order.mGroup = PositionOf(aEngine).mName;
+  order.mEpoch = PositionOf(aEngine).mEpoch;
+  QueueOrder(order);
 }
 
 std::string
 GroupPlanner::SpareModelFor(const EngineRecord& aEngine,
                             const std::map<std::string, int>& aStandby) const
 {
-  // A spare is worth most for the model whose members in its domain are most likely to be lost,
-  // which is the one with the most members for each spare that it has.
+  // A spare is most useful for the model whose members in its domain are most likely to be lost:
+  // the one with the most members per spare.
   std::map<std::string, std::size_t> members;
-  std::map<std::string, std::size_t> missing; // in replicas that wait for a spare
+  std::map<std::string, std::size_t> missing; // engines that replicas wait for
   for (const auto& [name, replica] : mReplicas) {
     if (replica.mDomain != aEngine.mDomain) {
       continue;
@@ -204,11 +206,11 @@
   }
   std::string best;
   double bestWorth = 0;
-  std::size_t bestSize = 0; // of equals the smaller model's: no model goes without a spare
+  std::size_t bestSize = 0; // ties go to the smaller model, so that no model is without a spare
   for (const auto& it : mView->mPool->mModels) {
     const auto n = members.find(it.mName);
     const auto have = aStandby.find(it.mName);
-    constexpr double kStagedWorth = 1.5; // a load saved outweighs a little evenness
+    constexpr double kStagedWorth = 1.5; // a saved load outweighs a slightly uneven distribution
     double worth = n == members.end() ? it.mShare : static_cast<double>(n->second);
     worth /= 1.0 + (have == aStandby.end() ? 0 : have->second);
     worth *= aEngine.HasStaged(it.mName) ? kStagedWorth : 1.0;
--- a/src/pepperbay/placement/group_planner_survivors.cpp
+++ b/src/pepperbay/placement/group_planner_survivors.cpp
@@ -12,7 +12,7 @@
   for (const auto& it : aReplica.mMembers) {
     const bool here = Usable(it) && aReplica.mRestarted.count(it) == 0 &&
                       !InOtherReplica(it, aReplica.mName) &&
-                      !IsElsewhere(*Find(it), aReplica.mName);
+                      !IsInOtherReplica(*Find(it), aReplica.mName);
     if (here) {
       survivors.push_back(it);
     }
@@ -34,10 +34,10 @@
 void
 GroupPlanner::JoinSurvivors()
 {
-  // Where the spares of a domain are used up, several replicas wait there for weights, 12 to 24 s,
-  // with members that are well: three of four in one, one of two in another. Together they make a
-  // whole one in a second. One replica is given up at a time; its members leave it, and are then
-  // free engines like any other.
+  // If a domain has no spares left, several of its replicas wait 12 to 24 s for weights with
+  // healthy members, such as three of four in one and one of two in another. Together they form a
+  // whole replica in a second. One replica is given up at a time; its members leave it and are then
+  // ordinary free engines.
   std::map<std::string, std::vector<PlannedReplica*>> waiting; // by domain
   for (auto& [name, replica] : mReplicas) {
     const bool waits = replica.mPhase == ReplicaPhase::kBroken &&
@@ -73,14 +73,15 @@
     }
     const auto free = FreeEngines(target->mDomain, target->mModel, target->mName);
     const auto quick = std::count_if(free.begin(), free.end(), [&](const EngineRecord* aEngine) {
-      return IsQuick(*aEngine, target->mModel);
+      return JoinsWithoutLoad(*aEngine, target->mModel);
     });
     const auto missing = [size](std::size_t aHave) { return size - std::min(size, aHave); };
-    const PlannedReplica* donor = LeastDonor(
+    const PlannedReplica* donor = SmallestDonor(
       *target, aWaiting, missing(survivors + static_cast<std::size_t>(quick)), Ready::kAtOnce);
     const bool patient = mView->mNow - target->mSince < mOptions.mWaitForLoads;
     if (donor == nullptr && !patient) {
-      donor = LeastDonor(*target, aWaiting, missing(survivors + free.size()), Ready::kAfterLoads);
+      donor =
+        SmallestDonor(*target, aWaiting, missing(survivors + free.size()), Ready::kAfterLoads);
     }
     if (donor != nullptr) {
       return donor->mName;
@@ -90,13 +91,13 @@
 }
 
 const PlannedReplica*
-GroupPlanner::LeastDonor(const PlannedReplica& aTarget,
-                         const std::vector<PlannedReplica*>& aWaiting,
-                         std::size_t aMissing,
-                         Ready aReady) const
+GroupPlanner::SmallestDonor(const PlannedReplica& aTarget,
+                            const std::vector<PlannedReplica*>& aWaiting,
+                            std::size_t aMissing,
+                            Ready aReady) const
 {
   if (aMissing == 0) {
-    return nullptr; // its engines are there, or on their way
+    return nullptr; // its engines are available or being released
   }
   const PlannedReplica* best = nullptr;
   std::size_t bestSize = 0;
@@ -107,7 +108,7 @@
     const auto survivors = Survivors(*donor);
     const auto gives = static_cast<std::size_t>(
       std::count_if(survivors.begin(), survivors.end(), [&](const std::string& aEngine) {
-        return aReady == Ready::kAfterLoads || IsQuick(*Find(aEngine), aTarget.mModel);
+        return aReady == Ready::kAfterLoads || JoinsWithoutLoad(*Find(aEngine), aTarget.mModel);
       }));
     if (gives >= aMissing && (best == nullptr || survivors.size() < bestSize)) {
       best = donor;
@@ -118,7 +119,7 @@
 }
 
 double
-GroupPlanner::PlacesInUse(const std::string& aModel, std::size_t aWithout) const
+GroupPlanner::ModelSlotUtilisation(const std::string& aModel, std::size_t aWithout) const
 {
   std::size_t open = 0;
   int inUse = 0;
@@ -137,11 +138,11 @@
 }
 
 std::size_t
-GroupPlanner::LacksReady(const PlannedReplica& aReplica) const
+GroupPlanner::MissingReady(const PlannedReplica& aReplica) const
 {
   const auto free = FreeEngines(aReplica.mDomain, aReplica.mModel, aReplica.mName);
   const auto ready = std::count_if(free.begin(), free.end(), [&](const EngineRecord* aEngine) {
-    return IsQuick(*aEngine, aReplica.mModel);
+    return JoinsWithoutLoad(*aEngine, aReplica.mModel);
   });
   const std::size_t missing = MissingMembers(aReplica);
   return missing - std::min(missing, static_cast<std::size_t>(ready));
@@ -151,7 +152,7 @@
 GroupPlanner::ServingDonors(const PlannedReplica& aTarget)
 {
   const std::size_t survivors = Survivors(aTarget).size();
-  const std::size_t lacks = LacksReady(aTarget);
+  const std::size_t lacks = MissingReady(aTarget);
   if (lacks == 0) {
     return {};
   }
@@ -167,7 +168,7 @@
       continue;
     }
     if (replica.mGivenUp) {
-      return {}; // others are on their way already
+      return {}; // others are being released already
     }
     if (replica.mPhase != ReplicaPhase::kOpen || replica.mLeavingSince) {
       continue;
@@ -175,7 +176,7 @@
     const auto ready =
       std::count_if(replica.mMembers.begin(), replica.mMembers.end(), [&](const std::string& aId) {
         const EngineRecord* engine = Find(aId);
-        return engine != nullptr && IsQuick(*engine, aTarget.mModel);
+        return engine != nullptr && JoinsWithoutLoad(*engine, aTarget.mModel);
       });
     candidates.push_back(
       { &replica, static_cast<std::size_t>(ready), mView->mInFlight(replica.mMembers.front()) });
@@ -189,10 +190,11 @@
   std::size_t engines = 0;
   for (const auto& it : candidates) {
     const std::string& model = it.mReplica->mModel;
-    const double after = PlacesInUse(model, given[model] + 1);
-    // Beyond its places a model would lose as many callers as the other one gains.
-    const bool hasRoom =
-      after <= mOptions.mRoomToGive || (after <= 1.0 && after < PlacesInUse(aTarget.mModel, 0));
+    const double after = ModelSlotUtilisation(model, given[model] + 1);
+    // A model without enough remaining slots would refuse as many requests as the other model
+    // gains.
+    const bool hasRoom = after <= mOptions.mMaxServingDonorUtilisation ||
+                         (after <= 1.0 && after < ModelSlotUtilisation(aTarget.mModel, 0));
     if (gives >= lacks || it.mReady == 0 || !hasRoom) {
       continue;
     }
@@ -201,7 +203,7 @@
     engines += it.mReplica->mMembers.size();
     donors.push_back(it.mReplica);
   }
-  // Fewer engines must stand still for it than would otherwise.
+  // The change must leave fewer engines idle than waiting would.
   const bool worth = gives >= lacks && engines < survivors + lacks;
   return worth ? donors : std::vector<PlannedReplica*>{};
 }
@@ -209,9 +211,9 @@
 void
 GroupPlanner::GiveUpServing()
 {
-  // Losses fall on the largest replicas first, and one engine short they are as dark as with none:
-  // fifteen engines wait for a sixteenth, 12 to 20 s where their domain has no spare left, while
-  // the smaller model has places that nobody uses. The engines that are left over become spares.
+  // Losses affect the largest replicas first, and a replica that lacks one engine cannot serve at
+  // all: fifteen engines wait for a sixteenth, 12 to 20 s if their domain has no spare left, while
+  // the smaller model has unused slots. The engines that are left over become spares.
   for (const auto& [name, target] : mReplicas) {
     const bool waits = target.mPhase == ReplicaPhase::kBroken && !target.mGivenUp &&
                        mView->mNow - target.mSince >= mOptions.mWaitForSpare &&
