--- a/cmake/Layers.cmake
+++ b/cmake/Layers.cmake
@@ -12,8 +12,8 @@
 pepperbay_library(membership SOURCES roster.cpp evidence.cpp shared_evidence.cpp engine_directory.cpp
                           stall_detector.cpp
                   TESTS membership_test.cpp engine_directory_test.cpp USES base proto) # pure
-pepperbay_library(quarantine SOURCES request_key.cpp crash_book.cpp recent_runs.cpp
-                  TESTS request_key_test.cpp crash_book_test.cpp recent_runs_test.cpp part_holds_test.cpp
+pepperbay_library(quarantine SOURCES request_key.cpp crash_tracker.cpp recent_completions.cpp
+                  TESTS request_key_test.cpp crash_tracker_test.cpp recent_completions_test.cpp part_quarantine_test.cpp
                   USES base) # pure
 pepperbay_library(reach SOURCES way_book.cpp proxy_choice.cpp tunnel_wire.cpp
                   TESTS way_book_test.cpp proxy_choice_test.cpp tunnel_wire_test.cpp USES base) # pure
--- a/examples/quarantine/hold.cpp
+++ b/examples/quarantine/hold.cpp
@@ -1,5 +1,5 @@
 // Two nodes see engines end under one request; each hears of the other's.
-#include "pepperbay/quarantine/crash_book.hpp"
+#include "pepperbay/quarantine/crash_tracker.hpp"
 
 #include <iostream>
 
@@ -11,11 +11,11 @@
   const TimePoint now = TimePoint(std::chrono::hours(1));
   const RequestKey key = KeyOfRequest("school", "kitchen.example", "/chat/1", "a fatal prompt");
   const auto end = [&](const char* aEngine) {
-    return EngineEnd{ EngineStartHash(aEngine, {}), Suspicion::kBegun, now };
+    return EngineEnd{ EngineIncarnationHash(aEngine, {}), Suspicion::kBegun, now };
   };
 
-  CrashBook levis;
-  CrashBook vanier;
+  CrashTracker levis;
+  CrashTracker vanier;
   levis.Add(key, end("engine-1"), now);
   levis.Add(key, end("engine-2"), now);
   vanier.Add(key, end("engine-2"), now); // both had requests there
@@ -25,8 +25,8 @@
   }
 
   std::cout << ToString(key) << ": " << levis.Ends(key).size() << " engines, score "
-            << levis.Score(key) << ", held back for " << ToMs(levis.HeldUntil(key) - now).count()
-            << " ms\n";
+            << levis.Score(key) << ", held back for "
+            << ToMs(levis.QuarantinedUntil(key) - now).count() << " ms\n";
   levis.Clear(key); // an engine ran it to its end after all
   std::cout << "cleared: score " << levis.Score(key) << "\n";
   return 0;
--- a/include/pepperbay/coordinator/coordinator.hpp
+++ b/include/pepperbay/coordinator/coordinator.hpp
@@ -13,7 +13,7 @@
 #include "pepperbay/lease/log_lease.hpp"
 #include "pepperbay/membership/engine_directory.hpp"
 #include "pepperbay/placement/group_planner.hpp"
-#include "pepperbay/quarantine/crash_book.hpp"
+#include "pepperbay/quarantine/crash_tracker.hpp"
 #include "pepperbay/routing/traffic_plan.hpp"
 
 #include <functional>
--- a/include/pepperbay/quarantine/crash_book.hpp
+++ b/include/pepperbay/quarantine/crash_tracker.hpp
@@ -43,26 +43,26 @@
 
 /// @return a number for one start of an engine, the same on every node.
 std::uint64_t
-EngineStartHash(std::string_view aEngine, WallTime aBorn);
+EngineIncarnationHash(std::string_view aEngine, WallTime aBorn);
 
-struct CrashBookOptions
+struct CrashTrackerOptions
 {
   /// Suspicion from which a request is held back for a moment: two engines ended as they began it.
   /// The pause lets every node hear of it and ends the overlap of repeats, so that the next run,
   /// if it ends an engine as well, ends one and not several.
-  int mHoldFrom = 4;
-  Duration mHold = std::chrono::seconds(2);
+  int mShortQuarantineScore = 4;
+  Duration mShortQuarantine = std::chrono::seconds(2);
   /// Added to mHold by this node. Nodes that differ let the next repeat through one after another.
   Duration mSpread{ 0 };
   /// Suspicion from which it is held back for long: three engines ended as they began it.
-  int mQuarantineFrom = 6;
+  int mLongQuarantineScore = 6;
   /// For the third engine; each further one doubles it.
-  Duration mQuarantine = std::chrono::minutes(10);
-  Duration mMostQuarantine = std::chrono::hours(8);
+  Duration mLongQuarantine = std::chrono::minutes(10);
+  Duration mMaxQuarantine = std::chrono::hours(8);
   /// Kept for so long after a request may run again, so that one more end counts with the former.
-  Duration mRemember = std::chrono::hours(1);
+  Duration mKeepFor = std::chrono::hours(1);
   /// Requests kept at most; the least suspected, and of these the oldest, go first.
-  std::size_t mMost = 4096;
+  std::size_t mMaxRequests = 4096;
 };
 
 /// @code
@@ -70,13 +70,13 @@
 /// book.Add(key, { EngineStartHash("engine-4", born), Suspicion::kBegun, now }, now);
 /// if (book.HeldUntil(key) > now) { ... }
 /// @endcode
-class CrashBook
+class CrashTracker
 {
 public:
   /// Engines kept for one request; it is held back for the longest time well before.
-  static constexpr std::size_t kMostEnds = 16;
+  static constexpr std::size_t kMaxEnds = 16;
 
-  explicit CrashBook(CrashBookOptions aOptions = {});
+  explicit CrashTracker(CrashTrackerOptions aOptions = {});
 
   /// @return whether this says more than was known: a new engine, or a stronger suspicion.
   bool Add(const RequestKey& aKey, const EngineEnd& aEnd, TimePoint aNow);
@@ -91,7 +91,7 @@
   /// @return the sum without the ends that another cause accounts for; it decides.
   int Charge(const RequestKey& aKey) const;
   /// @return until when it is held back; the zero time when it is not.
-  TimePoint HeldUntil(const RequestKey& aKey) const;
+  TimePoint QuarantinedUntil(const RequestKey& aKey) const;
   /// @return the engines that ended, in order of their hashes; empty for an unknown request.
   std::vector<EngineEnd> Ends(const RequestKey& aKey) const;
   /// What traffic needs to know of all requests in the book.
@@ -114,13 +114,13 @@
   struct Candidate;
 
   int Charge(const Request& aRequest) const;
-  TimePoint HeldUntil(const Request& aRequest) const;
+  TimePoint QuarantinedUntil(const Request& aRequest) const;
   void MakeRoom();
   /// Find anew which ends the causes account for.
   void AccountForEnds();
   std::vector<Candidate> Candidates();
 
-  CrashBookOptions mOptions;
+  CrashTrackerOptions mOptions;
   std::unordered_map<RequestKey, Request, RequestKeyHash> mRequests;
   /// Engines whose ends are accounted for, and the number of the cause, from 1. Causes that have
   /// the same ends cannot be told apart and have one number.
--- a/include/pepperbay/quarantine/recent_runs.hpp
+++ b/include/pepperbay/quarantine/recent_completions.hpp
@@ -19,18 +19,18 @@
 /// runs.OnRun(key, now);
 /// if (runs.HasRun(key, now)) { ... an engine's end is not charged to it }
 /// @endcode
-class RecentRuns
+class RecentCompletions
 {
 public:
   /// A run says nothing after this: what engines run changes, and a request that has begun to end
   /// them must be found out.
-  static constexpr std::chrono::seconds kFor{ 30 };
+  static constexpr std::chrono::seconds kValidFor{ 30 };
 
-  explicit RecentRuns(std::size_t aSlots = 4096);
+  explicit RecentCompletions(std::size_t aSlots = 4096);
 
-  void OnRun(const RequestKey& aKey, TimePoint aNow);
+  void OnCompletion(const RequestKey& aKey, TimePoint aNow);
   /// @return whether it is known to have run to its end lately.
-  bool HasRun(const RequestKey& aKey, TimePoint aNow) const;
+  bool HasCompleted(const RequestKey& aKey, TimePoint aNow) const;
 
 private:
   struct Run
--- a/include/pepperbay/quarantine/suspects.hpp
+++ b/include/pepperbay/quarantine/suspects.hpp
@@ -11,8 +11,8 @@
 
 struct SuspectRequest
 {
-  int mScore = 0;         ///< see CrashBook::Charge(); at least 1
-  TimePoint mHeldUntil{}; ///< it goes to no engine before; the zero time: it may run
+  int mScore = 0;                ///< see CrashBook::Charge(); at least 1
+  TimePoint mQuarantinedUntil{}; ///< it goes to no engine before; the zero time: it may run
 };
 
 using SuspectRequests = std::unordered_map<RequestKey, SuspectRequest, RequestKeyHash>;
--- a/include/pepperbay/relay/relay.hpp
+++ b/include/pepperbay/relay/relay.hpp
@@ -11,7 +11,7 @@
 #include "pepperbay/base/error.hpp"
 #include "pepperbay/membership/stall_detector.hpp"
 #include "pepperbay/places/place_agent.hpp"
-#include "pepperbay/quarantine/crash_book.hpp"
+#include "pepperbay/quarantine/crash_tracker.hpp"
 #include "pepperbay/relay/dialect.hpp"
 #include "pepperbay/relay/latency.hpp"
 #include "pepperbay/retries/retry_agent.hpp"
--- a/scripts/mutants/parts.sh
+++ b/scripts/mutants/parts.sh
@@ -4,17 +4,17 @@
 mutant "parts are not charged" $s/relay/relay_core.cpp \
   's/ChargeEnd\(mPartRuns, part.mKey, end\);/(void)part;/' relay_relay_suspects_test '*APartOfAPrompt*'
 mutant "parts that ran are charged" $s/relay/relay_core.cpp \
-  's/if \(!aRuns.HasRun\(aKey, Now\(\)\) \&\& /if (/' relay_relay_suspects_test '*APartThatHasJustRun*'
+  's/if \(!aRuns.HasCompleted\(aKey, Now\(\)\) \&\& /if (/' relay_relay_suspects_test '*APartThatHasJustRun*'
 mutant "the end of a connection clears parts" $s/relay/exchange_suspect.cpp \
   's/if \(aSaidWhole \&\& /if (/' relay_relay_suspects_test '*ClearsNoPart*'
 mutant "parts hold nothing back" $s/relay/exchange_suspect.cpp \
-  's/suspected.mHeldUntil = .*/(void)part;/' relay_relay_suspects_test '*WithAPartThatIsHeldBack*'
+  's/suspected.mQuarantinedUntil = .*/(void)part;/' relay_relay_suspects_test '*WithAPartThatIsHeldBack*'
 mutant "what runs on clears no part" $s/relay/exchange_suspect.cpp \
   's/mCore->OnPartsRan\(mParts\);/;/' relay_relay_suspects_test '*RunsOn*:*ClearsNoPart*'
-mutant "ends of a cause are charged to bystanders" $s/quarantine/crash_book.cpp \
-  's/charge \+= another \? 0 : /(void)another; charge += /' quarantine_crash_book_test '*Bystander*'
-mutant "of equal causes one excuses the other" $s/quarantine/crash_book.cpp \
-  's/if \(it.mBegun == best.mBegun\)/if (it.mRequest == best.mRequest)/' quarantine_crash_book_test '*EqualCauses*'
+mutant "ends of a cause are charged to bystanders" $s/quarantine/crash_tracker.cpp \
+  's/charge \+= another \? 0 : /(void)another; charge += /' quarantine_crash_tracker_test '*Bystander*'
+mutant "of equal causes one excuses the other" $s/quarantine/crash_tracker.cpp \
+  's/if \(it.mBegun == best.mBegun\)/if (it.mRequest == best.mRequest)/' quarantine_crash_tracker_test '*EqualCauses*'
 mutant "a rush is taken whole" $s/admission/connection_gate.cpp \
   's/if \(mTaken >= mRate .*/if (false) {/' admission_connection_gate_test '*Rush*'
 mutant "connections have no bound" $s/admission/connection_gate.cpp \
--- a/scripts/mutants/suspects.sh
+++ b/scripts/mutants/suspects.sh
@@ -4,16 +4,16 @@
 coordinator=$s/coordinator
 quarantine=$s/quarantine
 suspects=coordinator_coordinator_suspects_test
-mutant "an engine that several nodes saw end counts for each" $quarantine/crash_book.cpp \
+mutant "an engine that several nodes saw end counts for each" $quarantine/crash_tracker.cpp \
   's/if \(known \&\& it->mSuspicion >= aEnd.mSuspicion\)/if (false)/; s/  if \(known\) \{/  if (false) {/' \
-  quarantine_crash_book_test '*CountsEachEngineOnce*'
-mutant "bystanders count like the request that had just begun" $quarantine/crash_book.cpp \
-  's/mScore \+= static_cast<int>\(aEnd.mSuspicion\);/mScore += 2;/' quarantine_crash_book_test '*ABystander*'
-mutant "further engines lengthen nothing" $quarantine/crash_book.cpp \
-  's/mOptions.mQuarantine \* \(1 << .*\);/mOptions.mQuarantine;/; s/const int further =/[[maybe_unused]] const int further =/' \
-  quarantine_crash_book_test '*FurtherEngine*'
-mutant "the book has no bound" $quarantine/crash_book.cpp \
-  's/    MakeRoom\(\);/    ;/' quarantine_crash_book_test '*BoundedNumber*'
+  quarantine_crash_tracker_test '*CountsEachEngineOnce*'
+mutant "bystanders count like the request that had just begun" $quarantine/crash_tracker.cpp \
+  's/mScore \+= static_cast<int>\(aEnd.mSuspicion\);/mScore += 2;/' quarantine_crash_tracker_test '*ABystander*'
+mutant "further engines lengthen nothing" $quarantine/crash_tracker.cpp \
+  's/mOptions.mLongQuarantine \* \(1 << .*\);/mOptions.mLongQuarantine;/; s/const int further =/[[maybe_unused]] const int further =/' \
+  quarantine_crash_tracker_test '*FurtherEngine*'
+mutant "the book has no bound" $quarantine/crash_tracker.cpp \
+  's/    MakeRoom\(\);/    ;/' quarantine_crash_tracker_test '*BoundedNumber*'
 mutant "the caller is no part of a request's key" $quarantine/request_key.cpp \
   's/return \{ Hash64\(aCustomer\)/return { Hash64(aCustomer.substr(0, 0))/' quarantine_request_key_test '*KeepsCallersApart*'
 mutant "ends are not told" $coordinator/suspect_keeper.cpp \
@@ -55,13 +55,13 @@
   's/if \(!ran \&\& /if (/' relay_relay_suspects_test '*HasJustRunToItsEndIsNot*'
 mutant "what ran lately is not cleared" $relay/relay.cpp \
   's/  if \(suspects\) \{/  if (false) {/' relay_relay_suspects_test '*ClearsWhat*'
-mutant "a run is remembered for ever" $quarantine/recent_runs.cpp \
-  's/ \&\& aNow - run.mAt < kFor/ \&\& aNow >= run.mAt/' quarantine_recent_runs_test '*ForAWhile*'
-mutant "a run counts for another request" $quarantine/recent_runs.cpp \
-  's/run.mKey == aKey \&\& //' quarantine_recent_runs_test '*NeverTakes*'
+mutant "a run is remembered for ever" $quarantine/recent_completions.cpp \
+  's/ \&\& aNow - run.mAt < kValidFor/ \&\& aNow >= run.mAt/' quarantine_recent_completions_test '*ForAWhile*'
+mutant "a run counts for another request" $quarantine/recent_completions.cpp \
+  's/run.mKey == aKey \&\& //' quarantine_recent_completions_test '*NeverTakes*'
 mutant "a head that has ended is not told to the holder" $relay/relay.cpp \
   's/  if \(head\) \{/  if (false) {/' relay_relay_suspects_test '*WithItsStreams*'
 mutant "a head that refuses connections is not told" $relay/exchange_suspect.cpp \
   's/if \(aEnd.mGone \&\& .*/if (false) {/' relay_relay_suspects_test '*RefusesConnections*'
 mutant "what holds nothing back is passed on again and again" $coordinator/suspect_keeper.cpp \
-  's/mBook.HeldUntil\(key\) > Now\(\) \? mOptions.mTellTimes : 1;/mOptions.mTellTimes;/' $suspects '*PassedOnOnce*'
+  's/mBook.QuarantinedUntil\(key\) > Now\(\) \? mOptions.mTellTimes : 1;/mOptions.mTellTimes;/' $suspects '*PassedOnOnce*'
--- a/src/pepperbay/coordinator/coordinator.cpp
+++ b/src/pepperbay/coordinator/coordinator.cpp
@@ -377,7 +377,7 @@
 void
 Coordinator::Impl::PublishSuspects()
 {
-  const CrashBook& book = mSuspects.Book();
+  const CrashTracker& book = mSuspects.Book();
   mPublishedHeld = mSuspects.HeldRevision();
   if (mSuspectRequests && book.Revision() == mPublishedSuspects) {
     return;
@@ -395,7 +395,7 @@
   const TimePoint now = Now();
   return static_cast<std::uint64_t>(
     std::count_if(mSuspectRequests->begin(), mSuspectRequests->end(), [now](const auto& aIt) {
-      return aIt.second.mHeldUntil > now;
+      return aIt.second.mQuarantinedUntil > now;
     }));
 }
 
--- a/src/pepperbay/coordinator/coordinator_dump.cpp
+++ b/src/pepperbay/coordinator/coordinator_dump.cpp
@@ -64,7 +64,7 @@
   }
   Json held = Json::array();
   for (const auto& it : mSuspects.Book().Keys()) {
-    const TimePoint until = mSuspects.Book().HeldUntil(it);
+    const TimePoint until = mSuspects.Book().QuarantinedUntil(it);
     if (until > Now()) {
       held.push_back({ { "key", ToString(it) },
                        { "engines", mSuspects.Book().Ends(it).size() },
--- a/src/pepperbay/coordinator/coordinator_suspects_test.cpp
+++ b/src/pepperbay/coordinator/coordinator_suspects_test.cpp
@@ -23,7 +23,7 @@
   /// Whether a node refuses the request for minutes, and not just for a moment.
   bool Quarantines(const TestNode& aNode) const
   {
-    return Of(aNode).mHeldUntil > mClock.Now() + minutes(1);
+    return Of(aNode).mQuarantinedUntil > mClock.Now() + minutes(1);
   }
 
   void LoseAllMessages()
@@ -73,7 +73,7 @@
   }
   Run(seconds(1));
   EXPECT_EQ(Of(mNodes[0]).mScore, 2);
-  EXPECT_EQ(Of(mNodes[0]).mHeldUntil, TimePoint{});
+  EXPECT_EQ(Of(mNodes[0]).mQuarantinedUntil, TimePoint{});
   EXPECT_EQ(Records(), 0);
 }
 
--- a/src/pepperbay/coordinator/coordinator_tree_test.cpp
+++ b/src/pepperbay/coordinator/coordinator_tree_test.cpp
@@ -349,7 +349,8 @@
   for (const auto& it : mNodes) {
     const auto suspect = it.mPlan->mSuspects->find(key);
     ASSERT_NE(suspect, it.mPlan->mSuspects->end()) << it.mName;
-    EXPECT_GT(suspect->second.mHeldUntil, mClock.Now() + std::chrono::minutes(1)) << it.mName;
+    EXPECT_GT(suspect->second.mQuarantinedUntil, mClock.Now() + std::chrono::minutes(1))
+      << it.mName;
   }
 }
 
--- a/src/pepperbay/coordinator/suspect_keeper.cpp
+++ b/src/pepperbay/coordinator/suspect_keeper.cpp
@@ -49,7 +49,7 @@
 void
 SuspectKeeper::OnEnd(const RequestKey& aKey, const EngineEnd& aEnd)
 {
-  const TimePoint before = mBook.HeldUntil(aKey);
+  const TimePoint before = mBook.QuarantinedUntil(aKey);
   if (IsCleared(aKey, aEnd.mEngine) || !mBook.Add(aKey, aEnd, Now())) {
     return;
   }
@@ -82,7 +82,7 @@
 bool
 SuspectKeeper::Forget(const RequestKey& aKey, const char* aReason)
 {
-  const bool held = mBook.HeldUntil(aKey) > Now();
+  const bool held = mBook.QuarantinedUntil(aKey) > Now();
   const auto ends = mBook.Ends(aKey);
   if (!mBook.Clear(aKey)) {
     return false;
@@ -124,7 +124,7 @@
 {
   const RequestKey key = KeyOf(aRequest);
   const TimePoint now = Now();
-  const TimePoint before = mBook.HeldUntil(key);
+  const TimePoint before = mBook.QuarantinedUntil(key);
   bool isNew = false;
   for (const auto& it : aRequest.ends()) {
     const auto suspicion = SuspicionOf(it.suspicion());
@@ -146,10 +146,10 @@
 void
 SuspectKeeper::OnMore(const RequestKey& aKey, TimePoint aBefore, const char* aBy)
 {
-  if (mBook.Charge(aKey) >= mOptions.mBook.mHoldFrom) {
+  if (mBook.Charge(aKey) >= mOptions.mBook.mShortQuarantineScore) {
     mLasting.emplace(aKey, Now());
   }
-  const TimePoint until = mBook.HeldUntil(aKey);
+  const TimePoint until = mBook.QuarantinedUntil(aKey);
   if (until <= aBefore) {
     return;
   }
@@ -182,7 +182,7 @@
         mTellDue = Now();
       }
     } else if (Take(it, "peer") && aPassOn) {
-      mToTell[key] = mBook.HeldUntil(key) > Now() ? mOptions.mTellTimes : 1;
+      mToTell[key] = mBook.QuarantinedUntil(key) > Now() ? mOptions.mTellTimes : 1;
       mTellDue = Now();
     }
   }
@@ -313,7 +313,7 @@
 bool
 SuspectKeeper::NeedsWrite(const RequestKey& aKey, bool aHoldsLease) const
 {
-  if (mBook.Charge(aKey) < mOptions.mBook.mHoldFrom) {
+  if (mBook.Charge(aKey) < mOptions.mBook.mShortQuarantineScore) {
     return false; // something else accounts for the ends by now
   }
   const int score = mBook.Score(aKey);
--- a/src/pepperbay/coordinator/suspect_keeper.hpp
+++ b/src/pepperbay/coordinator/suspect_keeper.hpp
@@ -9,7 +9,7 @@
 #pragma once
 
 #include "pepperbay/base/error.hpp"
-#include "pepperbay/quarantine/crash_book.hpp"
+#include "pepperbay/quarantine/crash_tracker.hpp"
 
 #include <functional>
 #include <map>
@@ -23,7 +23,7 @@
 struct SuspectKeeperOptions
 {
   std::string mNode;
-  CrashBookOptions mBook;
+  CrashTrackerOptions mBook;
   /// A message that is lost is made good by the next; after so many they all are, or the peer is
   /// away. What holds nothing back is passed on once: each crash of an engine brings some of that.
   int mTellTimes = 3;
@@ -83,7 +83,7 @@
   /// Do what is due.
   void Tick(bool aHoldsLease);
 
-  const CrashBook& Book() const { return mBook; }
+  const CrashTracker& Book() const { return mBook; }
   /// Grows whenever a request is held back, for longer, or no more.
   std::uint64_t HeldRevision() const { return mHeldRevision; }
   /// Words of peers or records that could not be read.
@@ -131,7 +131,7 @@
 
   SuspectKeeperOptions mOptions;
   SuspectKeeperHooks mHooks;
-  CrashBook mBook;
+  CrashTracker mBook;
   std::map<RequestKey, int> mToTell;      ///< requests, and how often they are told yet
   std::map<RequestKey, int> mClearedTold; ///< the same for those that were cleared
   std::map<RequestKey, Cleared> mCleared;
--- a/src/pepperbay/quarantine/crash_book.cpp
+++ b/src/pepperbay/quarantine/crash_tracker.cpp
@@ -1,4 +1,4 @@
-#include "pepperbay/quarantine/crash_book.hpp"
+#include "pepperbay/quarantine/crash_tracker.hpp"
 
 #include "pepperbay/base/hash.hpp"
 
@@ -10,10 +10,10 @@
 namespace {
 
 /// The time doubles at most this often; more would overflow before the longest time is applied.
-constexpr int kMostDoublings = 16;
+constexpr int kMaxDoublings = 16;
 /// Candidates for causes beyond this are bystanders, more likely than not; comparing each with each
 /// other must not take long.
-constexpr std::size_t kMostCandidates = 256;
+constexpr std::size_t kMaxCandidates = 256;
 
 bool
 ByEngine(const EngineEnd& aLeft, const EngineEnd& aRight)
@@ -24,18 +24,18 @@
 } // namespace
 
 std::uint64_t
-EngineStartHash(std::string_view aEngine, WallTime aBorn)
+EngineIncarnationHash(std::string_view aEngine, WallTime aBorn)
 {
   return Hash64(aEngine, static_cast<std::uint64_t>(aBorn.time_since_epoch().count()));
 }
 
-CrashBook::CrashBook(CrashBookOptions aOptions)
+CrashTracker::CrashTracker(CrashTrackerOptions aOptions)
   : mOptions(aOptions)
 {
 }
 
 bool
-CrashBook::Add(const RequestKey& aKey, const EngineEnd& aEnd, TimePoint aNow)
+CrashTracker::Add(const RequestKey& aKey, const EngineEnd& aEnd, TimePoint aNow)
 {
   if (mRequests.count(aKey) == 0) {
     MakeRoom();
@@ -49,7 +49,7 @@
   if (known) {
     request.mScore += static_cast<int>(aEnd.mSuspicion) - static_cast<int>(it->mSuspicion);
     it->mSuspicion = aEnd.mSuspicion;
-  } else if (request.mEnds.size() < kMostEnds) {
+  } else if (request.mEnds.size() < kMaxEnds) {
     request.mScore += static_cast<int>(aEnd.mSuspicion);
     request.mEnds.insert(it, aEnd);
   } else {
@@ -57,16 +57,16 @@
   }
   request.mLastEnd = std::max(request.mLastEnd, std::min(aEnd.mAt, aNow));
   ++mRevision;
-  if (request.mScore >= mOptions.mQuarantineFrom) {
+  if (request.mScore >= mOptions.mLongQuarantineScore) {
     AccountForEnds();
   }
   return true;
 }
 
 void
-CrashBook::MakeRoom()
+CrashTracker::MakeRoom()
 {
-  if (mRequests.size() < mOptions.mMost) {
+  if (mRequests.size() < mOptions.mMaxRequests) {
     return;
   }
   const auto least =
@@ -75,7 +75,7 @@
       const Request& right = aRight.second;
       return std::tie(left.mScore, left.mLastEnd) < std::tie(right.mScore, right.mLastEnd);
     });
-  const bool accounts = least->second.mScore >= mOptions.mQuarantineFrom;
+  const bool accounts = least->second.mScore >= mOptions.mLongQuarantineScore;
   mRequests.erase(least);
   if (accounts) {
     AccountForEnds();
@@ -83,13 +83,13 @@
 }
 
 bool
-CrashBook::Clear(const RequestKey& aKey)
+CrashTracker::Clear(const RequestKey& aKey)
 {
   const auto it = mRequests.find(aKey);
   if (it == mRequests.end()) {
     return false;
   }
-  const bool accounts = it->second.mScore >= mOptions.mQuarantineFrom;
+  const bool accounts = it->second.mScore >= mOptions.mLongQuarantineScore;
   mRequests.erase(it);
   ++mRevision;
   if (accounts) {
@@ -99,11 +99,11 @@
 }
 
 std::vector<RequestKey>
-CrashBook::Expire(TimePoint aNow)
+CrashTracker::Expire(TimePoint aNow)
 {
   std::vector<RequestKey> forgotten;
   for (const auto& [key, request] : mRequests) {
-    if (std::max(HeldUntil(request), request.mLastEnd) + mOptions.mRemember <= aNow) {
+    if (std::max(QuarantinedUntil(request), request.mLastEnd) + mOptions.mKeepFor <= aNow) {
       forgotten.push_back(key);
     }
   }
@@ -114,7 +114,7 @@
 }
 
 int
-CrashBook::Charge(const Request& aRequest) const
+CrashTracker::Charge(const Request& aRequest) const
 {
   int charge = 0;
   for (const auto& it : aRequest.mEnds) {
@@ -125,7 +125,7 @@
   return charge;
 }
 
-struct CrashBook::Candidate
+struct CrashTracker::Candidate
 {
   Request* mRequest = nullptr;
   std::vector<std::uint64_t> mBegun; ///< engines that it may account for, in order
@@ -138,17 +138,17 @@
   }
 };
 
-std::vector<CrashBook::Candidate>
-CrashBook::Candidates()
+std::vector<CrashTracker::Candidate>
+CrashTracker::Candidates()
 {
   std::vector<Candidate> candidates;
   for (auto& [key, request] : mRequests) {
     request.mCause = 0;
-    if (request.mScore >= mOptions.mQuarantineFrom) {
+    if (request.mScore >= mOptions.mLongQuarantineScore) {
       candidates.push_back({ &request, {}, 0 });
     }
   }
-  const std::size_t n = std::min(candidates.size(), kMostCandidates);
+  const std::size_t n = std::min(candidates.size(), kMaxCandidates);
   std::partial_sort(candidates.begin(),
                     candidates.begin() + static_cast<std::ptrdiff_t>(n),
                     candidates.end(),
@@ -173,13 +173,13 @@
 }
 
 void
-CrashBook::AccountForEnds()
+CrashTracker::AccountForEnds()
 {
   mAccounted.clear();
   std::vector<Candidate> candidates = Candidates();
   for (int cause = 1; !candidates.empty(); ++cause) {
     const Candidate best = *std::max_element(candidates.begin(), candidates.end());
-    if (Charge(*best.mRequest) < mOptions.mQuarantineFrom) {
+    if (Charge(*best.mRequest) < mOptions.mLongQuarantineScore) {
       return;
     }
     for (const auto engine : best.mBegun) {
@@ -205,63 +205,64 @@
 }
 
 TimePoint
-CrashBook::HeldUntil(const Request& aRequest) const
+CrashTracker::QuarantinedUntil(const Request& aRequest) const
 {
   const int charge = Charge(aRequest);
-  if (charge < mOptions.mHoldFrom) {
+  if (charge < mOptions.mShortQuarantineScore) {
     return {};
   }
-  if (charge < mOptions.mQuarantineFrom) {
-    return aRequest.mLastEnd + mOptions.mHold + mOptions.mSpread;
+  if (charge < mOptions.mLongQuarantineScore) {
+    return aRequest.mLastEnd + mOptions.mShortQuarantine + mOptions.mSpread;
   }
-  const int further = (charge - mOptions.mQuarantineFrom) / static_cast<int>(Suspicion::kBegun);
-  const Duration length = mOptions.mQuarantine * (1 << std::min(further, kMostDoublings));
-  return aRequest.mLastEnd + std::min(length, mOptions.mMostQuarantine) + mOptions.mSpread;
+  const int further =
+    (charge - mOptions.mLongQuarantineScore) / static_cast<int>(Suspicion::kBegun);
+  const Duration length = mOptions.mLongQuarantine * (1 << std::min(further, kMaxDoublings));
+  return aRequest.mLastEnd + std::min(length, mOptions.mMaxQuarantine) + mOptions.mSpread;
 }
 
 int
-CrashBook::Score(const RequestKey& aKey) const
+CrashTracker::Score(const RequestKey& aKey) const
 {
   const auto it = mRequests.find(aKey);
   return it == mRequests.end() ? 0 : it->second.mScore;
 }
 
 int
-CrashBook::Charge(const RequestKey& aKey) const
+CrashTracker::Charge(const RequestKey& aKey) const
 {
   const auto it = mRequests.find(aKey);
   return it == mRequests.end() ? 0 : Charge(it->second);
 }
 
 TimePoint
-CrashBook::HeldUntil(const RequestKey& aKey) const
+CrashTracker::QuarantinedUntil(const RequestKey& aKey) const
 {
   const auto it = mRequests.find(aKey);
-  return it == mRequests.end() ? TimePoint{} : HeldUntil(it->second);
+  return it == mRequests.end() ? TimePoint{} : QuarantinedUntil(it->second);
 }
 
 std::vector<EngineEnd>
-CrashBook::Ends(const RequestKey& aKey) const
+CrashTracker::Ends(const RequestKey& aKey) const
 {
   const auto it = mRequests.find(aKey);
   return it == mRequests.end() ? std::vector<EngineEnd>{} : it->second.mEnds;
 }
 
 SuspectRequests
-CrashBook::Suspects() const
+CrashTracker::Suspects() const
 {
   SuspectRequests suspects;
   suspects.reserve(mRequests.size());
   for (const auto& [key, request] : mRequests) {
     if (const int charge = Charge(request); charge > 0) {
-      suspects[key] = { charge, HeldUntil(request) };
+      suspects[key] = { charge, QuarantinedUntil(request) };
     }
   }
   return suspects;
 }
 
 std::vector<RequestKey>
-CrashBook::Keys() const
+CrashTracker::Keys() const
 {
   std::vector<RequestKey> keys;
   keys.reserve(mRequests.size());
--- a/src/pepperbay/quarantine/part_holds_test.cpp
+++ b/src/pepperbay/quarantine/part_quarantine_test.cpp
@@ -1,6 +1,6 @@
 /// How soon a part that ends engines is held back, and what is held back with it.
-#include "pepperbay/quarantine/crash_book.hpp"
-#include "pepperbay/quarantine/recent_runs.hpp"
+#include "pepperbay/quarantine/crash_tracker.hpp"
+#include "pepperbay/quarantine/recent_completions.hpp"
 
 #include <algorithm>
 #include <deque>
@@ -16,7 +16,7 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-struct WorldOptions
+struct SimulationOptions
 {
   std::size_t mNodes = 8;
   std::size_t mHeads = 11;
@@ -31,22 +31,22 @@
 
 /// Nodes that hear of ends a moment later, heads that come back, and requests of which no two are
 /// alike. A request lists one part, which a few others share.
-class World
+class Simulation
 {
 public:
   static constexpr milliseconds kStep{ 10 };
-  static constexpr milliseconds kNewsTakes{
+  static constexpr milliseconds kReportDelay{
     100
-  };                                           ///< a broken connection, the probe, and the peers
-  static constexpr milliseconds kWaits{ 150 }; ///< until a head begins
-  static constexpr milliseconds kEndsAfter{ 100 }; ///< of the beginning
-  static constexpr milliseconds kWrites{ 1200 };
-  static constexpr seconds kBackAfter{ 4 };
+  }; ///< a broken connection, the probe, and the peers
+  static constexpr milliseconds kQueueTime{ 150 }; ///< until a head begins
+  static constexpr milliseconds kExitAfter{ 100 }; ///< of the beginning
+  static constexpr milliseconds kOutputTime{ 1200 };
+  static constexpr seconds kRestartAfter{ 4 };
 
-  World(const WorldOptions& aOptions, std::uint64_t aSeed)
+  Simulation(const SimulationOptions& aOptions, std::uint64_t aSeed)
     : mOptions(aOptions)
     , mRandom(aSeed)
-    , mRuns(aOptions.mNodes, RecentRuns(1024))
+    , mRuns(aOptions.mNodes, RecentCompletions(1024))
     , mHeads(aOptions.mHeads)
   {
   }
@@ -55,7 +55,7 @@
   {
     const TimePoint end = mNow + mOptions.mFor;
     for (; mNow < end; mNow += kStep) {
-      HearNews();
+      DeliverEnds();
       Arrive(mOptions.mPerHead * static_cast<double>(mOptions.mHeads), 0);
       if (mNow >= mStart + seconds(4)) {
         for (int it = 1; it <= mOptions.mCauses; ++it) {
@@ -81,19 +81,20 @@
       std::count_if(sent.begin(), sent.end(), [from](TimePoint aIt) { return aIt > from; }));
   }
   /// @return sound parts that are held back for long at the end.
-  std::size_t HeldByMistake() const
+  std::size_t QuarantinedByMistake() const
   {
-    const auto keys = mBook.Keys();
+    const auto keys = mTracker.Keys();
     return static_cast<std::size_t>(
       std::count_if(keys.begin(), keys.end(), [this](const RequestKey& aKey) {
-        return aKey.mCaller == kSound && mBook.HeldUntil(aKey) > mNow + std::chrono::minutes(1);
+        return aKey.mCaller == kHealthyCaller &&
+               mTracker.QuarantinedUntil(aKey) > mNow + std::chrono::minutes(1);
       }));
   }
-  std::size_t SoundParts() const { return mNextPart; }
+  std::size_t HealthyParts() const { return mNextPart; }
 
 private:
-  static constexpr std::uint64_t kSound = 1; ///< first half of keys of sound parts
-  static constexpr std::uint64_t kCause = 2;
+  static constexpr std::uint64_t kHealthyCaller = 1; ///< first half of keys of sound parts
+  static constexpr std::uint64_t kFaultyCaller = 2;
   const TimePoint mStart = TimePoint(std::chrono::hours(1));
 
   struct Request
@@ -110,20 +111,20 @@
     std::uint64_t mStart = 0;
     TimePoint mBackAt{};
   };
-  struct News
+  struct EndReport
   {
     TimePoint mAt{};
     RequestKey mKey;
     EngineEnd mEnd;
   };
 
-  void HearNews()
+  void DeliverEnds()
   {
-    for (; !mNews.empty() && mNews.front().mAt <= mNow; mNews.pop_front()) {
-      const News& news = mNews.front();
-      const auto ran = mLastRun.find(news.mKey);
-      if (ran == mLastRun.end() || mNow - ran->second > RecentRuns::kFor) {
-        mBook.Add(news.mKey, news.mEnd, mNow);
+    for (; !mEndReports.empty() && mEndReports.front().mAt <= mNow; mEndReports.pop_front()) {
+      const EndReport& report = mEndReports.front();
+      const auto ran = mLastRun.find(report.mKey);
+      if (ran == mLastRun.end() || mNow - ran->second > RecentCompletions::kValidFor) {
+        mTracker.Add(report.mKey, report.mEnd, mNow);
       }
     }
   }
@@ -136,16 +137,16 @@
       request.mCause = aCause;
       request.mNode = mRandom() % mOptions.mNodes;
       if (aCause != 0) {
-        request.mParts.push_back({ kCause, static_cast<std::uint64_t>(aCause) });
+        request.mParts.push_back({ kFaultyCaller, static_cast<std::uint64_t>(aCause) });
       }
       if (aCause == 0 || mOptions.mTwoParts) {
-        request.mParts.push_back({ kSound, SoundPart() });
+        request.mParts.push_back({ kHealthyCaller, HealthyPart() });
       }
       Send(std::move(request));
     }
   }
 
-  std::uint64_t SoundPart()
+  std::uint64_t HealthyPart()
   {
     const bool isNew =
       mNextPart == 0 || std::uniform_real_distribution<>()(mRandom) < mOptions.mNewShare;
@@ -156,7 +157,8 @@
   {
     const bool held =
       std::any_of(aRequest.mParts.begin(), aRequest.mParts.end(), [&](const RequestKey& aKey) {
-        return mBook.HeldUntil(aKey) > mNow || (aRequest.mAgain && mBook.Charge(aKey) > 0);
+        return mTracker.QuarantinedUntil(aKey) > mNow ||
+               (aRequest.mAgain && mTracker.Charge(aKey) > 0);
       });
     if (held) {
       return;
@@ -168,7 +170,7 @@
         if (aRequest.mCause != 0) {
           mSent[aRequest.mCause].push_back(mNow);
         }
-        aRequest.mBegins = mNow + kWaits;
+        aRequest.mBegins = mNow + kQueueTime;
         head.mRequests.push_back(std::move(aRequest));
         return;
       }
@@ -179,7 +181,7 @@
   {
     auto& requests = aHead->mRequests;
     const auto cause = std::find_if(requests.begin(), requests.end(), [this](const Request& aIt) {
-      return aIt.mCause != 0 && mNow >= aIt.mBegins + kEndsAfter;
+      return aIt.mCause != 0 && mNow >= aIt.mBegins + kExitAfter;
     });
     if (cause != requests.end()) {
       mEnds[cause->mCause].push_back(mNow);
@@ -187,7 +189,7 @@
       return;
     }
     for (auto it = requests.begin(); it != requests.end();) {
-      if (mNow < it->mBegins + kWrites) {
+      if (mNow < it->mBegins + kOutputTime) {
         ++it;
         continue;
       }
@@ -199,23 +201,24 @@
   void OnAnswered(const Request& aRequest)
   {
     for (const auto& it : aRequest.mParts) {
-      mRuns[aRequest.mNode].OnRun(it, mNow);
+      mRuns[aRequest.mNode].OnCompletion(it, mNow);
       mLastRun[it] = mNow;
-      mBook.Clear(it);
+      mTracker.Clear(it);
     }
   }
 
   void End(Head* aHead)
   {
     const std::uint64_t start = ++mStarts;
-    aHead->mBackAt = mNow + kBackAfter;
+    aHead->mBackAt = mNow + kRestartAfter;
     for (auto& it : std::exchange(aHead->mRequests, {})) {
       const bool begun = mNow >= it.mBegins && mNow - it.mBegins <= seconds(1);
       for (const auto& part : it.mParts) {
-        if (!mRuns[it.mNode].HasRun(part, mNow)) {
-          mNews.push_back({ mNow + kNewsTakes,
-                            part,
-                            { start, begun ? Suspicion::kBegun : Suspicion::kPresent, mNow } });
+        if (!mRuns[it.mNode].HasCompleted(part, mNow)) {
+          mEndReports.push_back(
+            { mNow + kReportDelay,
+              part,
+              { start, begun ? Suspicion::kBegun : Suspicion::kPresent, mNow } });
         }
       }
       if (!std::exchange(it.mAgain, true)) {
@@ -224,13 +227,13 @@
     }
   }
 
-  WorldOptions mOptions;
+  SimulationOptions mOptions;
   std::mt19937_64 mRandom;
   TimePoint mNow = mStart;
-  std::vector<RecentRuns> mRuns; ///< by node
+  std::vector<RecentCompletions> mRuns; ///< by node
   std::vector<Head> mHeads;
-  CrashBook mBook;
-  std::deque<News> mNews;
+  CrashTracker mTracker;
+  std::deque<EndReport> mEndReports;
   std::map<RequestKey, TimePoint> mLastRun;
   std::map<int, std::vector<TimePoint>> mEnds; ///< by cause
   std::map<int, std::vector<TimePoint>> mSent; ///< by cause
@@ -241,39 +244,39 @@
 struct Case
 {
   const char* mName;
-  WorldOptions mOptions;
+  SimulationOptions mOptions;
   std::uint64_t mSeeds;
 };
 
 std::vector<Case>
 Cases()
 {
-  const WorldOptions usual;
-  WorldOptions two = usual;
+  const SimulationOptions usual;
+  SimulationOptions two = usual;
   two.mCauses = 2;
-  WorldOptions five = usual;
+  SimulationOptions five = usual;
   five.mCauses = 5;
   five.mCausePerSecond = 2;
-  WorldOptions paired = usual;
+  SimulationOptions paired = usual;
   paired.mTwoParts = true;
-  WorldOptions single = usual;
+  SimulationOptions single = usual;
   single.mBatch = 1;
   single.mPerHead = 0.6;
-  WorldOptions ten = usual;
+  SimulationOptions ten = usual;
   ten.mBatch = 10;
   ten.mPerHead = 6;
-  WorldOptions many = usual;
+  SimulationOptions many = usual;
   many.mNodes = 75;
   many.mHeads = 100;
   many.mCausePerSecond = 20;
-  WorldOptions distinct = many;
+  SimulationOptions distinct = many;
   distinct.mCauses = 200;
   distinct.mCausePerSecond = 0.3;
-  WorldOptions larger = many;
+  SimulationOptions larger = many;
   larger.mNodes = 295;
   larger.mHeads = 300;
   larger.mFor = seconds(12);
-  WorldOptions largest = many;
+  SimulationOptions largest = many;
   largest.mNodes = 1300;
   largest.mHeads = 1000;
   largest.mFor = seconds(9);
@@ -291,15 +294,15 @@
 }
 
 /// Requests with a part that ends engines go on reaching them.
-TEST(PartHolds, NoCauseGoesOnEndingEngines)
+TEST(PartQuarantine, NoCauseGoesOnMakingEnginesExit)
 {
-  constexpr int kMostSentLate = 3;
+  constexpr int kMaxSentLate = 3;
   for (const auto& it : Cases()) {
     for (std::uint64_t seed = 1; seed <= it.mSeeds; ++seed) {
-      World world(it.mOptions, seed);
+      Simulation world(it.mOptions, seed);
       world.Run();
       for (int cause = 1; cause <= it.mOptions.mCauses; ++cause) {
-        EXPECT_LE(world.SentLate(cause), kMostSentLate) << it.mName << ", seed " << seed;
+        EXPECT_LE(world.SentLate(cause), kMaxSentLate) << it.mName << ", seed " << seed;
       }
     }
   }
@@ -307,7 +310,7 @@
 
 /// Sound requests that were at several engines that ended are refused with the cause. With hundreds
 /// of causes at a time no engine stands for long, and little is seen to run.
-TEST(PartHolds, FewerThanOneSoundPartInAThousandIsHeldBackBesideAFewCauses)
+TEST(PartQuarantine, FewerThanOneHealthyPartInAThousandIsQuarantinedWithAFewCauses)
 {
   constexpr int kFew = 5;
   for (const auto& it : Cases()) {
@@ -317,10 +320,10 @@
     std::size_t held = 0;
     std::size_t all = 0;
     for (std::uint64_t seed = 1; seed <= it.mSeeds; ++seed) {
-      World world(it.mOptions, seed);
+      Simulation world(it.mOptions, seed);
       world.Run();
-      held += world.HeldByMistake();
-      all += world.SoundParts();
+      held += world.QuarantinedByMistake();
+      all += world.HealthyParts();
     }
     EXPECT_LT(1000 * held, all) << it.mName;
   }
--- a/src/pepperbay/relay/ending_probe.cpp
+++ b/src/pepperbay/relay/ending_probe.cpp
@@ -20,7 +20,7 @@
 void
 EndingProbe::OnBrokenOff(const AttemptTarget& aEngine, BrokenOff aRequest)
 {
-  Pending& pending = mPending[EngineStartHash(aEngine.mEngine, aEngine.mBorn)];
+  Pending& pending = mPending[EngineIncarnationHash(aEngine.mEngine, aEngine.mBorn)];
   if (pending.mRequests.empty()) {
     pending.mTarget = aEngine;
     pending.mAskAt = mNow() + kAskAfter;
--- a/src/pepperbay/relay/ending_probe.hpp
+++ b/src/pepperbay/relay/ending_probe.hpp
@@ -10,7 +10,7 @@
 
 #include "attempt.hpp"
 #include "connection_pool.hpp"
-#include "pepperbay/quarantine/crash_book.hpp"
+#include "pepperbay/quarantine/crash_tracker.hpp"
 
 #include <functional>
 #include <map>
--- a/src/pepperbay/relay/exchange_suspect.cpp
+++ b/src/pepperbay/relay/exchange_suspect.cpp
@@ -22,7 +22,7 @@
   for (const auto& it : mParts) {
     const SuspectRequest part = mCore->SuspectOf(it.mKey);
     suspected.mScore = std::max(suspected.mScore, part.mScore);
-    suspected.mHeldUntil = std::max(suspected.mHeldUntil, part.mHeldUntil);
+    suspected.mQuarantinedUntil = std::max(suspected.mQuarantinedUntil, part.mQuarantinedUntil);
   }
   return suspected;
 }
@@ -30,7 +30,7 @@
 Duration
 Exchange::HeldFor() const
 {
-  return std::max(Suspected().mHeldUntil - mCore->Now(), Duration::zero());
+  return std::max(Suspected().mQuarantinedUntil - mCore->Now(), Duration::zero());
 }
 
 bool
@@ -141,7 +141,7 @@
     DropNext("held_back", mNext->mAttempt->MayHaveRun());
   }
   const auto& headAt = mCurrent.mHeadAt;
-  const bool byPart = mCore->SuspectOf(mKey).mHeldUntil <= mCore->Now();
+  const bool byPart = mCore->SuspectOf(mKey).mQuarantinedUntil <= mCore->Now();
   const Duration most = byPart ? Duration(kPartGoesOnAfter) : mCore->mOptions.mSuspectWithin;
   const bool proven = headAt && mCore->Now() - *headAt > most;
   if (proven || mNext) {
--- a/src/pepperbay/relay/relay_core.cpp
+++ b/src/pepperbay/relay/relay_core.cpp
@@ -187,7 +187,7 @@
 void
 RelayCore::OnRanWhole(const RequestKey& aKey)
 {
-  mRuns.OnRun(aKey, Now());
+  mRuns.OnCompletion(aKey, Now());
   TellRan(aKey);
 }
 
@@ -195,7 +195,7 @@
 RelayCore::OnPartsRan(const std::vector<PromptPart>& aParts)
 {
   for (const auto& it : aParts) {
-    mPartRuns.OnRun(it.mKey, Now());
+    mPartRuns.OnCompletion(it.mKey, Now());
     TellRan(it.mKey);
   }
 }
@@ -212,7 +212,7 @@
 RelayCore::ClearThoseThatRan(const SuspectRequests& aSuspects)
 {
   for (const auto& [key, suspect] : aSuspects) {
-    const bool ran = mRuns.HasRun(key, Now()) || mPartRuns.HasRun(key, Now());
+    const bool ran = mRuns.HasCompleted(key, Now()) || mPartRuns.HasCompleted(key, Now());
     if (ran && mHooks.mOnRanWhole) {
       mHooks.mOnRanWhole(key);
     }
@@ -223,14 +223,14 @@
 RelayCore::OnEngineEnded(const AttemptTarget& aEngine, const std::vector<BrokenOff>& aRequests)
 {
   ++mCounters.mEnginesEnded;
-  const std::uint64_t start = EngineStartHash(aEngine.mEngine, aEngine.mBorn);
+  const std::uint64_t start = EngineIncarnationHash(aEngine.mEngine, aEngine.mBorn);
   const bool head = std::any_of(
     aRequests.begin(), aRequests.end(), [](const BrokenOff& aIt) { return aIt.mOfReplica; });
   if (head) {
     OnHeadGone(aEngine.mEngine, aRequests.front().mAt);
   }
   for (const auto& it : aRequests) {
-    const bool ran = mRuns.HasRun(it.mKey, Now());
+    const bool ran = mRuns.HasCompleted(it.mKey, Now());
     Log("engine_ended",
         { { "engine", aEngine.mEngine },
           { "request", it.mRequest },
@@ -248,9 +248,9 @@
 }
 
 void
-RelayCore::ChargeEnd(const RecentRuns& aRuns, const RequestKey& aKey, const EngineEnd& aEnd)
+RelayCore::ChargeEnd(const RecentCompletions& aRuns, const RequestKey& aKey, const EngineEnd& aEnd)
 {
-  if (!aRuns.HasRun(aKey, Now()) && mHooks.mOnEngineEnded) {
+  if (!aRuns.HasCompleted(aKey, Now()) && mHooks.mOnEngineEnded) {
     mHooks.mOnEngineEnded(aKey, aEnd);
   }
 }
--- a/src/pepperbay/relay/relay_core.hpp
+++ b/src/pepperbay/relay/relay_core.hpp
@@ -5,7 +5,7 @@
 #include "connection_pool.hpp"
 #include "ending_probe.hpp"
 #include "engine_connector.hpp"
-#include "pepperbay/quarantine/recent_runs.hpp"
+#include "pepperbay/quarantine/recent_completions.hpp"
 #include "pepperbay/relay/relay.hpp"
 #include "pepperbay/retries/retry_agent.hpp"
 
@@ -39,7 +39,7 @@
   /// Tell whoever keeps suspects that one ran to its end, if it is one.
   void TellRan(const RequestKey& aKey);
   /// Charge an engine's end to what it had, unless that has lately run to its end.
-  void ChargeEnd(const RecentRuns& aRuns, const RequestKey& aKey, const EngineEnd& aEnd);
+  void ChargeEnd(const RecentCompletions& aRuns, const RequestKey& aKey, const EngineEnd& aEnd);
   /// Clear those that have lately run to their end at this node; others have seen only the ends.
   void ClearThoseThatRan(const SuspectRequests& aSuspects);
   /// An engine has ended while it had requests of this node.
@@ -75,8 +75,9 @@
   ConnectionPool mConnections;
   EngineConnector mConnector;
   EndingProbe mEndings;
-  RecentRuns mRuns;
-  RecentRuns mPartRuns; ///< of parts of prompts; a table of its own, since requests are many more
+  RecentCompletions mRuns;
+  RecentCompletions
+    mPartRuns; ///< of parts of prompts; a table of its own, since requests are many more
   RelayCounters mCounters;
   std::set<std::shared_ptr<Session>> mSessions;
   std::set<std::shared_ptr<Exchange>> mExchanges;
--- a/src/pepperbay/relay/relay_suspects_test.cpp
+++ b/src/pepperbay/relay/relay_suspects_test.cpp
@@ -100,7 +100,7 @@
   ASSERT_EQ(ends.size(), 1U);
   EXPECT_EQ(ends[0].mRequest, StreamKey());
   EXPECT_EQ(ends[0].mEnd.mSuspicion, Suspicion::kBegun);
-  EXPECT_EQ(ends[0].mEnd.mEngine, EngineStartHash("e0", {}));
+  EXPECT_EQ(ends[0].mEnd.mEngine, EngineIncarnationHash("e0", {}));
 }
 
 /// A replica whose head has ended stays in the plan until its registration lapses, and all that is
