--- a/include/pepperbay/quarantine/crash_tracker.hpp
+++ b/include/pepperbay/quarantine/crash_tracker.hpp
@@ -1,17 +1,19 @@
 /// @file
-/// @brief Requests under which engines end, and which of them are held back. Pure.
+/// @brief Tracks requests that were running on engines that exited, and quarantines likely causes.
+/// Pure: no I/O and no clock of its own.
 ///
-/// A request may end each engine that runs it. Its caller repeats it, at any node, and each repeat
-/// takes a replica and all its streams along. No single end tells which of the requests in progress
-/// there was the cause; a request that was there each time is. So ends are counted by request, each
-/// engine once, over all nodes: the book is a set that only grows, and books that exchange what
-/// they have come to the same, in whatever order and however often it arrives.
+/// A faulty request may make every engine that runs it exit. Its caller repeats it, at any node,
+/// and each repeat costs a replica and all streams of that replica. A single exit does not tell
+/// which of the requests in progress caused it; a request that was present at several exits is the
+/// likely cause. So exits are counted per request, each engine once, over all nodes: the tracker is
+/// a grow-only set, and trackers that exchange their entries converge to the same state, whatever
+/// the order and number of deliveries.
 ///
-/// What is counted is a request in all its repeats, and each part of its prompt that it may share
-/// with others: requests that are never alike may have the cause in common. An end charges all that
-/// was there, so bystanders are charged with the cause. What has ended enough engines to be held
-/// back for long is a cause; causes are found greedily, the one that accounts for most ends first,
-/// and an end that a cause accounts for is not charged to anything else.
+/// Entries are kept for a request with all its repeats, and for each part of its prompt that it may
+/// share with others, since requests that are never alike may have the cause in common. An exit
+/// charges every request that was present, bystanders included. An entry charged with enough exits
+/// for a long quarantine is a cause. Causes are found greedily, the one that explains most exits
+/// first, and an exit that a cause explains is charged to no other entry.
 #pragma once
 
 #include "pepperbay/base/clock.hpp"
@@ -26,104 +28,109 @@
 
 namespace pepperbay {
 
-/// How much an engine's end says against one request that it had. The values are added up.
+/// Weight of one engine exit as evidence against one request that the engine had. Weights are added
+/// up.
 enum class Suspicion : std::uint8_t
 {
-  kPresent = 1, ///< it waited there, or had been answered for a while: others are as likely
-  kBegun = 2,   ///< the engine had just begun to run it
+  kPresent = 1, ///< the request was queued, or had been producing output for a while: other
+                ///< requests are as likely
+  kBegun = 2,   ///< the engine had just begun to run the request
 };
 
-/// An engine that ended while it had a request.
+/// An engine that exited while it had a request.
 struct EngineEnd
 {
-  std::uint64_t mEngine = 0; ///< one start of one engine, see EngineStartHash()
+  std::uint64_t mEngine = 0; ///< one incarnation of one engine, see EngineIncarnationHash()
   Suspicion mSuspicion = Suspicion::kPresent;
   TimePoint mAt{};
 };
 
-/// @return a number for one start of an engine, the same on every node.
+/// @return a hash of one incarnation of an engine (its id and start time), the same on every node.
 std::uint64_t
 EngineIncarnationHash(std::string_view aEngine, WallTime aBorn);
 
 struct CrashTrackerOptions
 {
-  /// Suspicion from which a request is held back for a moment: two engines ended as they began it.
-  /// The pause lets every node hear of it and ends the overlap of repeats, so that the next run,
-  /// if it ends an engine as well, ends one and not several.
+  /// Score from which a request is quarantined briefly: two engines exited as they began it. The
+  /// pause lets every node learn of the exits and separates overlapping repeats, so that the next
+  /// run makes at most one engine exit and not several.
   int mShortQuarantineScore = 4;
   Duration mShortQuarantine = std::chrono::seconds(2);
-  /// Added to mHold by this node. Nodes that differ let the next repeat through one after another.
+  /// Delay that this node adds to each quarantine. Different values per node let the next repeat
+  /// through at one node after another.
   Duration mSpread{ 0 };
-  /// Suspicion from which it is held back for long: three engines ended as they began it.
+  /// Score from which a request is quarantined for long: three engines exited as they began it.
   int mLongQuarantineScore = 6;
-  /// For the third engine; each further one doubles it.
+  /// Length at the third engine; each further engine doubles it.
   Duration mLongQuarantine = std::chrono::minutes(10);
   Duration mMaxQuarantine = std::chrono::hours(8);
-  /// Kept for so long after a request may run again, so that one more end counts with the former.
+  /// An entry is kept for this long after its quarantine is over, so that one more exit adds to the
+  /// earlier ones.
   Duration mKeepFor = std::chrono::hours(1);
-  /// Requests kept at most; the least suspected, and of these the oldest, go first.
+  /// Maximum number of entries; the entries with the lowest score, and of these the oldest, are
+  /// evicted first.
   std::size_t mMaxRequests = 4096;
 };
 
 /// @code
-/// CrashBook book(options);
-/// book.Add(key, { EngineStartHash("engine-4", born), Suspicion::kBegun, now }, now);
-/// if (book.HeldUntil(key) > now) { ... }
+/// CrashTracker tracker(options);
+/// tracker.Add(key, { EngineIncarnationHash("engine-4", born), Suspicion::kBegun, now }, now);
+/// if (tracker.QuarantinedUntil(key) > now) { ... }
 /// @endcode
 class CrashTracker
 {
 public:
-  /// Engines kept for one request; it is held back for the longest time well before.
+  /// Engines stored for one request; the longest quarantine is reached well before.
   static constexpr std::size_t kMaxEnds = 16;
 
   explicit CrashTracker(CrashTrackerOptions aOptions = {});
 
-  /// @return whether this says more than was known: a new engine, or a stronger suspicion.
+  /// @return whether this adds evidence: a new engine, or a stronger suspicion of a known one.
   bool Add(const RequestKey& aKey, const EngineEnd& aEnd, TimePoint aNow);
-  /// An engine ran the request to its end, or an operator says so: nothing speaks against it.
-  /// @return whether anything was known
+  /// An engine completed the request, or an operator released it: drop all evidence against it.
+  /// @return whether there was an entry.
   bool Clear(const RequestKey& aKey);
-  /// Forget what is old. @return the requests forgotten
+  /// Drop expired entries. @return their keys.
   std::vector<RequestKey> Expire(TimePoint aNow);
 
-  /// @return the sum of the suspicions; 0 for a request that is not in the book.
+  /// @return the sum of all weights; 0 for a request without an entry.
   int Score(const RequestKey& aKey) const;
-  /// @return the sum without the ends that another cause accounts for; it decides.
+  /// @return the sum without the exits that another cause explains; quarantine goes by this value.
   int Charge(const RequestKey& aKey) const;
-  /// @return until when it is held back; the zero time when it is not.
+  /// @return when the quarantine ends; the zero time when there is none.
   TimePoint QuarantinedUntil(const RequestKey& aKey) const;
-  /// @return the engines that ended, in order of their hashes; empty for an unknown request.
+  /// @return the engines that exited, ordered by hash; empty for an unknown request.
   std::vector<EngineEnd> Ends(const RequestKey& aKey) const;
-  /// What traffic needs to know of all requests in the book.
+  /// @return all entries with a charge, for the traffic threads.
   SuspectRequests Suspects() const;
   std::vector<RequestKey> Keys() const;
   std::size_t Size() const { return mRequests.size(); }
-  /// Grows with each change.
+  /// Increases with each change.
   std::uint64_t Revision() const { return mRevision; }
 
 private:
   struct Request
   {
-    std::vector<EngineEnd> mEnds; ///< in order of their hashes
+    std::vector<EngineEnd> mEnds; ///< ordered by hash
     int mScore = 0;
     TimePoint mLastEnd{};
-    int mCause = 0; ///< number of the causes that it is one of; 0: of none
+    int mCause = 0; ///< number of the cause, shared by causes with the same exits; 0: not a cause
   };
 
-  /// One that may be a cause, while causes are found.
+  /// A possible cause, during the search for causes.
   struct Candidate;
 
   int Charge(const Request& aRequest) const;
   TimePoint QuarantinedUntil(const Request& aRequest) const;
   void MakeRoom();
-  /// Find anew which ends the causes account for.
+  /// Recompute the causes and the exits that they explain.
   void AccountForEnds();
   std::vector<Candidate> Candidates();
 
   CrashTrackerOptions mOptions;
   std::unordered_map<RequestKey, Request, RequestKeyHash> mRequests;
-  /// Engines whose ends are accounted for, and the number of the cause, from 1. Causes that have
-  /// the same ends cannot be told apart and have one number.
+  /// Engines whose exits are explained, with the number of the cause, from 1. Causes with the same
+  /// exits cannot be distinguished and share one number.
   std::unordered_map<std::uint64_t, int> mAccounted;
   std::uint64_t mRevision = 0;
 };
--- a/include/pepperbay/quarantine/recent_completions.hpp
+++ b/include/pepperbay/quarantine/recent_completions.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Requests that engines have lately run to their end. Pure.
+/// @brief Requests that engines have completed recently. Pure: no I/O and no clock of its own.
 #pragma once
 
 #include "pepperbay/base/clock.hpp"
@@ -9,27 +9,27 @@
 
 namespace pepperbay {
 
-/// Many callers may send the same request all the time. It is then at each engine that ends, for
-/// whatever reason, and would be taken for the cause; but it runs to its end elsewhere.
+/// Many callers may send the same request all the time. It is then present at each engine that
+/// exits, for whatever reason, and would be taken for the cause although other engines complete it.
 ///
-/// A table of fixed size: a run may be forgotten for another one's sake, so what it says is true
-/// and what it does not say proves nothing.
+/// A hash table of fixed size in which a newer entry overwrites an older one in the same slot.
+/// There are no false positives; a missing entry proves nothing.
 ///
 /// @code
-/// runs.OnRun(key, now);
-/// if (runs.HasRun(key, now)) { ... an engine's end is not charged to it }
+/// completions.OnCompletion(key, now);
+/// if (completions.HasCompleted(key, now)) { ... the exit of an engine is not charged to it }
 /// @endcode
 class RecentCompletions
 {
 public:
-  /// A run says nothing after this: what engines run changes, and a request that has begun to end
-  /// them must be found out.
+  /// Time for which a completion counts. It is short since the model or the software of the engines
+  /// may change, and a request that begins to make them exit must then be detected.
   static constexpr std::chrono::seconds kValidFor{ 30 };
 
   explicit RecentCompletions(std::size_t aSlots = 4096);
 
   void OnCompletion(const RequestKey& aKey, TimePoint aNow);
-  /// @return whether it is known to have run to its end lately.
+  /// @return whether the request is known to have completed within `kValidFor`.
   bool HasCompleted(const RequestKey& aKey, TimePoint aNow) const;
 
 private:
--- a/include/pepperbay/quarantine/request_key.hpp
+++ b/include/pepperbay/quarantine/request_key.hpp
@@ -12,11 +12,11 @@
 
 namespace pepperbay {
 
-/// Stands for a request in all its repeats, or for all requests with one part of a prompt,
-/// whichever node they reach.
+/// Identifies a request with all its repeats, or all requests that contain one part of a prompt,
+/// the same on every node.
 ///
-/// The caller has a half of its own, so that no caller can find a body, or name a part, for which
-/// the requests of another one are held back.
+/// The customer is a separate half of the key, so that no customer can craft a body, or name a
+/// part, that gets the requests of another customer quarantined.
 struct RequestKey
 {
   std::uint64_t mCaller = 0;  ///< hash of the customer
@@ -39,36 +39,37 @@
   std::size_t operator()(const RequestKey& aKey) const { return aKey.mCaller ^ aKey.mContent; }
 };
 
-/// @param aCustomer whom the request's key belongs to; empty where none is asked for
+/// @param aCustomer owner of the API key of the request; empty where no key is required
 /// @param aTarget path and query, as the caller sent them
-/// @param aBody whole, without any transfer encoding
+/// @param aBody the complete body, with transfer encoding removed
 RequestKey
 KeyOfRequest(std::string_view aCustomer,
              std::string_view aHost,
              std::string_view aTarget,
              std::string_view aBody);
 
-/// @param aService the engines that read the part; an id may mean another part elsewhere
-/// @param aPart its id, in the one form that equal ids have
+/// @param aService service whose engines read the part; the same id may mean another part at
+/// another service
+/// @param aPart id of the part in its canonical form
 RequestKey
 KeyOfPromptPart(std::string_view aCustomer, std::string_view aService, std::string_view aPart);
 
 /// A part of a prompt that a request shares with others.
 struct PromptPart
 {
-  std::string mId; ///< as the platform names it
+  std::string mId; ///< id given by the platform
   RequestKey mKey;
 };
 
-/// @return the ids, separated by commas, as lines name them.
+/// @return the ids separated by commas, as in log lines.
 std::string
 ToString(const std::vector<PromptPart>& aParts);
 
-/// @return both halves in hexadecimal, as lines and dumps name a request.
+/// @return both halves as 32 hexadecimal digits, as in log lines and state dumps.
 std::string
 ToString(const RequestKey& aKey);
 
-/// Read what ToString() wrote.
+/// Parse the output of ToString(). Fails with Errc::kInvalid on any other text.
 Result<RequestKey>
 ParseRequestKey(std::string_view aText);
 
--- a/include/pepperbay/quarantine/suspects.hpp
+++ b/include/pepperbay/quarantine/suspects.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief What traffic threads know of requests under which engines have ended.
+/// @brief Snapshot of suspect requests for the traffic threads.
 #pragma once
 
 #include "pepperbay/base/clock.hpp"
@@ -11,8 +11,9 @@
 
 struct SuspectRequest
 {
-  int mScore = 0;                ///< see CrashBook::Charge(); at least 1
-  TimePoint mQuarantinedUntil{}; ///< it goes to no engine before; the zero time: it may run
+  int mScore = 0;                ///< see CrashTracker::Charge(); at least 1
+  TimePoint mQuarantinedUntil{}; ///< end of the quarantine: it is sent to no engine before; the
+                                 ///< zero time: not quarantined
 };
 
 using SuspectRequests = std::unordered_map<RequestKey, SuspectRequest, RequestKeyHash>;
--- a/src/pepperbay/quarantine/crash_tracker.cpp
+++ b/src/pepperbay/quarantine/crash_tracker.cpp
@@ -9,10 +9,10 @@
 namespace pepperbay {
 namespace {
 
-/// The time doubles at most this often; more would overflow before the longest time is applied.
+/// Limit of the number of doublings; more would overflow before mMaxQuarantine is applied.
 constexpr int kMaxDoublings = 16;
-/// Candidates for causes beyond this are bystanders, more likely than not; comparing each with each
-/// other must not take long.
+/// Limit of the candidates for causes. Those beyond it are most likely bystanders, and the
+/// comparison of each candidate with each other takes quadratic time.
 constexpr std::size_t kMaxCandidates = 256;
 
 bool
@@ -128,8 +128,8 @@
 struct CrashTracker::Candidate
 {
   Request* mRequest = nullptr;
-  std::vector<std::uint64_t> mBegun; ///< engines that it may account for, in order
-  std::ptrdiff_t mAlone = 0;         ///< of these, such as no other candidate has
+  std::vector<std::uint64_t> mBegun; ///< engines whose exits it may explain, ordered by hash
+  std::ptrdiff_t mAlone = 0;         ///< number of these that no other candidate has
 
   bool operator<(const Candidate& aOther) const
   {
--- a/src/pepperbay/quarantine/crash_tracker_test.cpp
+++ b/src/pepperbay/quarantine/crash_tracker_test.cpp
@@ -37,7 +37,8 @@
   EXPECT_EQ(tracker.QuarantinedUntil(kKey), kNow + CrashTrackerOptions().mLongQuarantine);
 }
 
-/// Many nodes see the end of one engine; counted once for each, one end would hold a request back.
+/// Many nodes observe the exit of one engine. If each observation counted, a single exit would
+/// quarantine a request.
 TEST(CrashTracker, CountsEachEngineOnce)
 {
   CrashTracker tracker;
@@ -55,7 +56,7 @@
   EXPECT_EQ(tracker.Score(kKey), 2);
 }
 
-/// A request that happened to be at three engines that ended would be refused to its caller.
+/// A request that was merely queued at three engines that exited must not be refused to its caller.
 TEST(CrashTracker, ABystanderOfThreeExitsIsNotQuarantined)
 {
   CrashTracker tracker;
@@ -77,8 +78,8 @@
   EXPECT_EQ(tracker.QuarantinedUntil(kKey), TimePoint{});
 }
 
-/// A caller that repeats such a request for hours would end three engines each time its quarantine
-/// is over.
+/// Otherwise a caller that repeats such a request for hours makes three engines exit each time the
+/// quarantine is over.
 TEST(CrashTracker, EachFurtherEngineDoublesTheTime)
 {
   const CrashTrackerOptions options;
@@ -93,7 +94,8 @@
   EXPECT_EQ(tracker.QuarantinedUntil(kKey), kNow + options.mMaxQuarantine);
 }
 
-/// A bystander of three ends of one cause would be refused with it for ten minutes.
+/// Otherwise a bystander of three exits with one cause is refused for ten minutes together with the
+/// cause.
 TEST(CrashTracker, ExitsOfAStrongerCauseAreNotChargedToBystanders)
 {
   const RequestKey bystander{ 1, 3 };
@@ -109,11 +111,11 @@
   EXPECT_EQ(tracker.Charge(bystander), 0);
   EXPECT_EQ(tracker.QuarantinedUntil(bystander), TimePoint{});
   EXPECT_EQ(tracker.Suspects().count(bystander), 0U);
-  tracker.Clear(kKey); // and then it is one of them again
+  tracker.Clear(kKey); // without the cause, the bystander is a suspect again
   EXPECT_GT(tracker.QuarantinedUntil(bystander), kNow);
 }
 
-/// Two causes at a time would excuse one another, and both go on ending engines.
+/// Otherwise two simultaneous causes clear one another, and both go on making engines exit.
 TEST(CrashTracker, ACauseIsChargedWithItsOwnExitsBesideAnother)
 {
   const RequestKey other{ 1, 3 };
@@ -133,7 +135,7 @@
   EXPECT_GT(tracker.QuarantinedUntil(kKey), kNow + minutes(1));
 }
 
-/// A session that was at one engine of each of three causes would be refused for ten minutes.
+/// Otherwise a session that was at one engine of each of three causes is refused for ten minutes.
 TEST(CrashTracker, ABystanderOfOneExitOfEachOfThreeCausesIsNotQuarantined)
 {
   const RequestKey bystander{ 2, 9 };
@@ -153,7 +155,8 @@
   }
 }
 
-/// What cannot be told apart is held back together; let go, the cause would end a fourth engine.
+/// Requests with the same exits cannot be distinguished and are quarantined together. If they
+/// cleared one another, the cause would make a fourth engine exit.
 TEST(CrashTracker, EqualCausesDoNotClearOneAnother)
 {
   const RequestKey other{ 1, 3 };
@@ -176,7 +179,7 @@
   EXPECT_EQ(tracker.Size(), 0U);
 }
 
-/// A time of an end that lies ahead, of a node whose word is broken, would hold for ever.
+/// A faulty node may report an exit time in the future, which would quarantine a request for ever.
 TEST(CrashTracker, AnExitTimeIsNeverLaterThanNow)
 {
   CrashTracker tracker;
@@ -186,7 +189,8 @@
   EXPECT_EQ(tracker.QuarantinedUntil(kKey), kNow + CrashTrackerOptions().mLongQuarantine);
 }
 
-/// A cause that has made room for another would excuse what is charged with its ends for ever.
+/// Once a cause is evicted, its exits must be charged to the other requests again; otherwise these
+/// stay cleared for ever.
 TEST(CrashTracker, ExitsOfAnEvictedCauseAreChargedAgain)
 {
   CrashTrackerOptions options;
@@ -199,12 +203,12 @@
   for (std::uint64_t it = 11; it <= 14; ++it) {
     tracker.Add(other, Begun(it), kNow + seconds(1));
   }
-  tracker.Add({ 1, 4 }, Begun(1), kNow + seconds(2)); // of the first two the less suspected goes
+  tracker.Add({ 1, 4 }, Begun(1), kNow + seconds(2)); // evicts kKey, which has the lower score
   EXPECT_EQ(tracker.Score(kKey), 0);
   EXPECT_EQ(tracker.Charge({ 1, 4 }), 2);
 }
 
-/// Callers that send many such requests would fill the memory, or push out what is held back.
+/// Callers that send many such requests must not exhaust the memory or evict quarantined requests.
 TEST(CrashTracker, KeepsABoundedNumberAndTheMostSuspectedOfThem)
 {
   CrashTrackerOptions options;
@@ -221,8 +225,8 @@
   EXPECT_EQ(tracker.Score({ 7, 199 }), 2);
 }
 
-/// Nodes that hear of the same ends in another order, or several times, would disagree on whom to
-/// refuse.
+/// Nodes that receive the same exits in another order, or several times, must agree on which
+/// requests to refuse.
 RC_GTEST_PROP(CrashTrackerProperty, TrackersWithTheSameReportsAgree, ())
 {
   struct EndReportOf
@@ -260,8 +264,8 @@
   }
 }
 
-/// A whole domain ends at one moment, and what moved elsewhere runs to its end: none of the
-/// requests there may be refused, nor those of a second domain that ends later.
+/// A whole failure domain fails at one moment, and requests that move elsewhere complete there:
+/// none of them may be refused, nor those of a second domain that fails later.
 RC_GTEST_PROP(CrashTrackerProperty, SimultaneousExitsQuarantineNoRequest, ())
 {
   CrashTracker tracker;
@@ -269,7 +273,8 @@
   const auto requests = *rc::gen::inRange<std::uint64_t>(1, 300);
   for (std::uint64_t it = 0; it < requests; ++it) {
     const auto suspicion = *rc::gen::element(Suspicion::kPresent, Suspicion::kBegun);
-    tracker.Add({ 1, it }, { it % engines, suspicion, kNow }, kNow); // each is at one engine only
+    tracker.Add(
+      { 1, it }, { it % engines, suspicion, kNow }, kNow); // each request is at one engine only
   }
   for (std::uint64_t it = 0; it < requests; ++it) {
     RC_ASSERT(tracker.QuarantinedUntil({ 1, it }) == TimePoint{});
--- a/src/pepperbay/quarantine/part_quarantine_test.cpp
+++ b/src/pepperbay/quarantine/part_quarantine_test.cpp
@@ -1,4 +1,5 @@
-/// How soon a part that ends engines is held back, and what is held back with it.
+/// Simulates prompt parts that make engines exit: how soon they are quarantined, and which healthy
+/// parts are quarantined with them.
 #include "pepperbay/quarantine/crash_tracker.hpp"
 #include "pepperbay/quarantine/recent_completions.hpp"
 
@@ -21,25 +22,23 @@
   std::size_t mNodes = 8;
   std::size_t mHeads = 11;
   std::size_t mBatch = 26;    ///< requests at one head
-  double mPerHead = 14;       ///< sound requests a second for each head
-  double mNewShare = 0.4;     ///< of sound requests whose part nobody has sent before
-  int mCauses = 1;            ///< parts that end each engine
-  double mCausePerSecond = 6; ///< requests with each of them
-  bool mTwoParts = false;     ///< such a request lists a sound part as well
+  double mPerHead = 14;       ///< healthy requests per second and head
+  double mNewShare = 0.4;     ///< share of healthy requests whose part is new
+  int mCauses = 1;            ///< parts that make each engine exit
+  double mCausePerSecond = 6; ///< requests per second with each of these parts
+  bool mTwoParts = false;     ///< such a request lists a healthy part as well
   seconds mFor{ 20 };
 };
 
-/// Nodes that hear of ends a moment later, heads that come back, and requests of which no two are
+/// Nodes that learn of exits with a delay, heads that restart, and requests of which no two are
 /// alike. A request lists one part, which a few others share.
 class Simulation
 {
 public:
   static constexpr milliseconds kStep{ 10 };
-  static constexpr milliseconds kReportDelay{
-    100
-  }; ///< a broken connection, the probe, and the peers
-  static constexpr milliseconds kQueueTime{ 150 }; ///< until a head begins
-  static constexpr milliseconds kExitAfter{ 100 }; ///< of the beginning
+  static constexpr milliseconds kReportDelay{ 100 }; ///< detection, probe and peer messages
+  static constexpr milliseconds kQueueTime{ 150 };   ///< queueing time at a head
+  static constexpr milliseconds kExitAfter{ 100 };   ///< after the request began
   static constexpr milliseconds kOutputTime{ 1200 };
   static constexpr seconds kRestartAfter{ 4 };
 
@@ -68,7 +67,8 @@
     }
   }
 
-  /// @return requests with this cause that were sent later than three seconds after its fifth end.
+  /// @return the number of requests with this cause that were sent later than three seconds after
+  /// its fifth exit.
   int SentLate(int aCause) const
   {
     const auto ends = mEnds.find(aCause);
@@ -80,7 +80,7 @@
     return static_cast<int>(
       std::count_if(sent.begin(), sent.end(), [from](TimePoint aIt) { return aIt > from; }));
   }
-  /// @return sound parts that are held back for long at the end.
+  /// @return the number of healthy parts in long quarantine at the end of the run.
   std::size_t QuarantinedByMistake() const
   {
     const auto keys = mTracker.Keys();
@@ -93,7 +93,7 @@
   std::size_t HealthyParts() const { return mNextPart; }
 
 private:
-  static constexpr std::uint64_t kHealthyCaller = 1; ///< first half of keys of sound parts
+  static constexpr std::uint64_t kHealthyCaller = 1; ///< RequestKey::mCaller of healthy parts
   static constexpr std::uint64_t kFaultyCaller = 2;
   const TimePoint mStart = TimePoint(std::chrono::hours(1));
 
@@ -293,7 +293,7 @@
            { "1,300 nodes", largest, 1 } };
 }
 
-/// Requests with a part that ends engines go on reaching them.
+/// Guards against requests with a faulty part that go on reaching engines.
 TEST(PartQuarantine, NoCauseGoesOnMakingEnginesExit)
 {
   constexpr int kMaxSentLate = 3;
@@ -308,8 +308,9 @@
   }
 }
 
-/// Sound requests that were at several engines that ended are refused with the cause. With hundreds
-/// of causes at a time no engine stands for long, and little is seen to run.
+/// Guards against healthy parts that are quarantined since they were present at several exits.
+/// Cases with hundreds of simultaneous causes are left out: engines are up too briefly there for
+/// completions to clear many parts.
 TEST(PartQuarantine, FewerThanOneHealthyPartInAThousandIsQuarantinedWithAFewCauses)
 {
   constexpr int kFew = 5;
--- a/src/pepperbay/quarantine/recent_completions_test.cpp
+++ b/src/pepperbay/quarantine/recent_completions_test.cpp
@@ -18,14 +18,14 @@
   EXPECT_FALSE(runs.HasCompleted({ 1, 2 }, kNow + RecentCompletions::kValidFor));
 }
 
-/// A request that shares a slot with one that ran would be cleared of what it did.
+/// A request that shares a hash slot with a completed one would be cleared by mistake.
 TEST(RecentCompletions, NeverTakesOneRequestForAnother)
 {
   RecentCompletions runs(1);
   runs.OnCompletion({ 1, 2 }, kNow);
   EXPECT_FALSE(runs.HasCompleted({ 1, 3 }, kNow));
   runs.OnCompletion({ 1, 3 }, kNow);
-  EXPECT_FALSE(runs.HasCompleted({ 1, 2 }, kNow)); // forgotten, which proves nothing
+  EXPECT_FALSE(runs.HasCompleted({ 1, 2 }, kNow)); // overwritten
   EXPECT_TRUE(runs.HasCompleted({ 1, 3 }, kNow));
 }
 
--- a/src/pepperbay/quarantine/request_key.cpp
+++ b/src/pepperbay/quarantine/request_key.cpp
@@ -30,14 +30,15 @@
              std::string_view aTarget,
              std::string_view aBody)
 {
-  // Each part seeds the next, so that bytes cannot move from one part to another unnoticed.
+  // Each field seeds the hash of the next, so that moving bytes from one field to another changes
+  // the key.
   return { Hash64(aCustomer), Hash64(aBody, Hash64(aTarget, Hash64(aHost))) };
 }
 
 RequestKey
 KeyOfPromptPart(std::string_view aCustomer, std::string_view aService, std::string_view aPart)
 {
-  // Seeded, so that no path and body have the same key as a part.
+  // The seed keeps keys of parts distinct from keys of requests.
   constexpr std::uint64_t kPartSeed = 0x70617274;
   return { Hash64(aCustomer), Hash64(aPart, Hash64(aService, kPartSeed)) };
 }
--- a/src/pepperbay/quarantine/request_key_test.cpp
+++ b/src/pepperbay/quarantine/request_key_test.cpp
@@ -16,7 +16,8 @@
   EXPECT_NE(KeyOfRequest("", "h", "/chat/1", "2"), KeyOfRequest("", "h", "/chat/12", ""));
 }
 
-/// A caller that could choose a body for any hash would have the request of another held back.
+/// Otherwise a customer could choose a body with the same hash as a request of another customer and
+/// get that request quarantined.
 TEST(RequestKey, KeepsCallersApartWhateverTheySend)
 {
   EXPECT_EQ(KeyOfRequest("school", "h", "/", "x").mContent,
@@ -25,7 +26,8 @@
             KeyOfRequest("kitchen", "h", "/", "x").mCaller);
 }
 
-/// A part named by one customer, or of another service, would have requests of others held back.
+/// A part named by one customer, or at one service, must not quarantine requests of other customers
+/// or services.
 TEST(RequestKey, APartIsOfOneCustomerAndOneService)
 {
   const RequestKey key = KeyOfPromptPart("school", "pool", "5c");
--- a/src/pepperbay/relay/ending_probe.hpp
+++ b/src/pepperbay/relay/ending_probe.hpp
@@ -73,7 +73,7 @@
   ConnectionPool* mPool;
   OnFound mOnEnded;
   OnFound mOnAlive;
-  std::map<std::uint64_t, Pending> mPending; ///< by EngineStartHash()
+  std::map<std::uint64_t, Pending> mPending; ///< by EngineIncarnationHash()
 };
 
 } // namespace pepperbay
