--- a/bench/retries.cpp
+++ b/bench/retries.cpp
@@ -9,7 +9,7 @@
 /// counted by desks in place of nodes, with the slack from the keeper ("both").
 
 #include "pepperbay/admission/retry_budget.hpp"
-#include "src/pepperbay/retries/retry_world.hpp"
+#include "src/pepperbay/retries/retry_simulation.hpp"
 
 #include <cstdio>
 #include <map>
@@ -50,7 +50,7 @@
 using RequestFn = std::function<void(std::size_t aNode)>;
 
 Figures
-Play(RetryWorld* aWorld,
+Play(RetrySimulation* aWorld,
      const Scenario& aScenario,
      const RequestFn& aOnRequest,
      const TakeFn& aTake)
@@ -59,8 +59,9 @@
   Figures figures;
   RetryAccount account(limits);
   const double nodes = aScenario.mOneNode ? 8.0 : static_cast<double>(aWorld->Size());
-  std::poisson_distribution<int> arrivals(nodes * aScenario.mPerSecondAndNode *
-                                          std::chrono::duration<double>(RetryWorld::kStep).count());
+  std::poisson_distribution<int> arrivals(
+    nodes * aScenario.mPerSecondAndNode *
+    std::chrono::duration<double>(RetrySimulation::kStep).count());
   const TimePoint faultAt = aWorld->Now() + kBefore;
   std::uint64_t sent = 0;
   while (aWorld->Now() < faultAt + kFault) {
@@ -90,19 +91,19 @@
   return figures;
 }
 
-RetryWorldOptions
+RetrySimulationOptions
 WorldOf(int aNodes)
 {
-  RetryWorldOptions options;
+  RetrySimulationOptions options;
   options.mNodes = aNodes;
-  options.mLatest = milliseconds(20);
+  options.mMaxDelay = milliseconds(20);
   return options;
 }
 
 Figures
 Divided(int aNodes, const Scenario& aScenario)
 {
-  RetryWorld world(WorldOf(aNodes));
+  RetrySimulation world(WorldOf(aNodes));
   std::map<std::size_t, RetryBudget> budgets;
   const auto of = [&](std::size_t aNode) -> RetryBudget& {
     return budgets.emplace(aNode, RetryBudget({ 0.2, 134.0 / aNodes })).first->second;
@@ -117,19 +118,19 @@
 Figures
 OwnTimes(int aNodes, const Scenario& aScenario)
 {
-  RetryWorld world(WorldOf(aNodes));
+  RetrySimulation world(WorldOf(aNodes));
   const RetryLimits limits{ 0.2, 134, seconds(10) };
   RetryParts parts;
   parts.mOwnDepth = 0.45;
   parts.mOwnRate = 0.5;
   parts.mRareRate = 0.5;
-  std::map<std::size_t, OwnRetries> owns;
+  std::map<std::size_t, LocalRetries> owns;
   std::map<std::size_t, EarnedRetries> earneds;
   const auto earned = [&](std::size_t aNode) -> EarnedRetries& {
     return earneds.emplace(aNode, EarnedRetries({ 0.1, seconds(10) })).first->second;
   };
   for (std::size_t i = 0; i < world.Size(); ++i) {
-    auto& own = owns.emplace(i, OwnRetries("n" + std::to_string(i), limits, parts)).first->second;
+    auto& own = owns.emplace(i, LocalRetries("n" + std::to_string(i), limits, parts)).first->second;
     own.MayTake("plain", aNodes, world.Now()); // begins to fill
   }
   return Play(
@@ -142,7 +143,7 @@
 }
 
 void
-AskIfItMay(RetryWorld* aWorld, std::size_t aNode, RetryAgent::Done aDone)
+AskIfItMay(RetrySimulation* aWorld, std::size_t aNode, RetryAgent::Done aDone)
 {
   if (aWorld->Agent(aNode).MayTry("plain")) {
     aWorld->Ask(aNode, std::move(aDone));
@@ -154,7 +155,7 @@
 Figures
 Keeper(int aNodes, const Scenario& aScenario)
 {
-  RetryWorld world(WorldOf(aNodes));
+  RetrySimulation world(WorldOf(aNodes));
   return Play(
     &world,
     aScenario,
@@ -191,12 +192,12 @@
 };
 
 CutFigures
-PlayCut(RetryWorld* aWorld, const Cut& aCut, const RequestFn& aOnRequest, const TakeFn& aTake)
+PlayCut(RetrySimulation* aWorld, const Cut& aCut, const RequestFn& aOnRequest, const TakeFn& aTake)
 {
   CutFigures figures;
   RetryAccount account({ 0.2, aCut.mSlack, seconds(10) });
-  const double perStep =
-    aCut.mNodes * aCut.mPerSecondAndNode * std::chrono::duration<double>(RetryWorld::kStep).count();
+  const double perStep = aCut.mNodes * aCut.mPerSecondAndNode *
+                         std::chrono::duration<double>(RetrySimulation::kStep).count();
   std::poisson_distribution<int> arrivals(perStep);
   std::vector<std::size_t> broken;
   const TimePoint cutAt = aWorld->Now() + kBefore;
@@ -234,10 +235,10 @@
   return figures;
 }
 
-RetryWorldOptions
+RetrySimulationOptions
 WorldOf(const Cut& aCut)
 {
-  RetryWorldOptions options = WorldOf(aCut.mNodes);
+  RetrySimulationOptions options = WorldOf(aCut.mNodes);
   options.mLimits.mSlack = aCut.mSlack;
   return options;
 }
@@ -246,7 +247,7 @@
 CutFigures
 CutBuckets(const Cut& aCut, std::size_t aGroups, double aPart)
 {
-  RetryWorld world(WorldOf(aCut));
+  RetrySimulation world(WorldOf(aCut));
   std::vector<RetryBudget> budgets(
     aGroups, RetryBudget({ 0.2, aPart * aCut.mSlack / static_cast<double>(aGroups) }));
   return PlayCut(
@@ -261,7 +262,7 @@
 CutFigures
 CutKeeper(const Cut& aCut)
 {
-  RetryWorld world(WorldOf(aCut));
+  RetrySimulation world(WorldOf(aCut));
   return PlayCut(
     &world,
     aCut,
@@ -275,7 +276,7 @@
 CutFigures
 CutDesksAndKeeper(const Cut& aCut, std::size_t aGroups)
 {
-  RetryWorld world(WorldOf(aCut));
+  RetrySimulation world(WorldOf(aCut));
   std::vector<EarnedRetries> desks(
     aGroups, EarnedRetries({ 0.2 * RetryParts().mEarned, RetryLimits().mWindow }));
   return PlayCut(
--- a/cmake/Layers.cmake
+++ b/cmake/Layers.cmake
@@ -42,7 +42,7 @@
                           own_part.cpp
                   TESTS place_agent_test.cpp limited_engines_test.cpp rate_ledger_test.cpp
                   USES routing admission proto) # pure
-pepperbay_library(retries SOURCES own_retries.cpp retry_agent.cpp retry_keeper.cpp
+pepperbay_library(retries SOURCES local_retries.cpp retry_agent.cpp retry_budget_owner.cpp
                   TESTS retry_agent_test.cpp
                   USES admission places proto) # pure
 pepperbay_library(wire SOURCES peer_link.cpp codec.cpp TESTS codec_test.cpp peer_link_test.cpp USES base proto
--- a/include/pepperbay/places/place_agent.hpp
+++ b/include/pepperbay/places/place_agent.hpp
@@ -123,15 +123,15 @@
 
 struct PlaceCounters
 {
-  std::uint64_t mAsked = 0;    ///< questions to other nodes' desks
-  std::uint64_t mResent = 0;   ///< of these, sent again
-  std::uint64_t mGivenUp = 0;  ///< desks that did not answer in time
-  std::uint64_t mAlone = 0;    ///< choices without a desk though the plan names one
-  std::uint64_t mGranted = 0;  ///< places granted to other nodes
-  std::uint64_t mPassedOn = 0; ///< questions passed on to the desk of another data centre
-  std::uint64_t mLimited = 0;  ///< requests refused as all that had room take no more for now
-  std::uint64_t mOwnPart = 0;  ///< requests sent by this node's own part of a limit
-  std::uint64_t mCounted = 0;  ///< requests counted against limits, of all nodes
+  std::uint64_t mAsked = 0;      ///< questions to other nodes' desks
+  std::uint64_t mResent = 0;     ///< of these, sent again
+  std::uint64_t mTimedOut = 0;   ///< desks that did not answer in time
+  std::uint64_t mAlone = 0;      ///< choices without a desk though the plan names one
+  std::uint64_t mGranted = 0;    ///< places granted to other nodes
+  std::uint64_t mPassedOn = 0;   ///< questions passed on to the desk of another data centre
+  std::uint64_t mLimited = 0;    ///< requests refused as all that had room take no more for now
+  std::uint64_t mLocalShare = 0; ///< requests sent by this node's own part of a limit
+  std::uint64_t mCounted = 0;    ///< requests counted against limits, of all nodes
   std::uint64_t mBadMessages = 0;
 };
 
@@ -321,7 +321,7 @@
   std::map<std::string, Held> mHeld;            ///< by desk
   std::map<std::string, TimePoint> mPassOver;   ///< desks that did not answer, until when
   RateLedger mLedger;
-  OwnPart mOwnPart;
+  OwnPart mLocalShare;
   TimePoint mRetainDue{};
   std::uint64_t mLastId = 0;
 };
--- a/include/pepperbay/retries/own_retries.hpp
+++ b/include/pepperbay/retries/local_retries.hpp
@@ -17,29 +17,29 @@
 /// @code
 /// if (own.Take("search", nodes, now)) { sendAgain(); }
 /// @endcode
-class OwnRetries
+class LocalRetries
 {
 public:
-  OwnRetries(const std::string& aNode, RetryLimits aLimits, RetryParts aParts);
+  LocalRetries(const std::string& aNode, RetryLimits aLimits, RetryParts aParts);
 
   void SetLimits(RetryLimits aLimits) { mLimits = aLimits; }
   /// @param aNodes that may be at work, this one included
   bool MayTake(const std::string& aService, int aNodes, TimePoint aNow);
   /// @return whether there was one to take
   bool Take(const std::string& aService, int aNodes, TimePoint aNow);
-  void Tick(TimePoint aNow) { mRare.Tick(aNow); }
+  void Tick(TimePoint aNow) { mSchedule.Tick(aNow); }
 
 private:
   TokenBucket& BucketOf(const std::string& aService, int aNodes, TimePoint aNow);
   /// @return whether the part is at least one.
-  bool IsWhole(int aNodes) const { return mLimits.mSlack * mParts.mOwnDepth >= aNodes; }
+  bool HasWholeAttempt(int aNodes) const { return mLimits.mSlack * mParts.mOwnDepth >= aNodes; }
   /// @param aPart of the slack, in a window
   double PerSecond(double aPart) const;
 
   RetryLimits mLimits;
   RetryParts mParts;
   std::map<std::string, TokenBucket> mBuckets; ///< by service
-  OwnPart mRare;
+  OwnPart mSchedule;
 };
 
 } // namespace pepperbay
--- a/include/pepperbay/retries/retry_agent.hpp
+++ b/include/pepperbay/retries/retry_agent.hpp
@@ -9,8 +9,8 @@
 
 #include "pepperbay/admission/earned_retries.hpp"
 #include "pepperbay/admission/retry_limits.hpp"
-#include "pepperbay/retries/own_retries.hpp"
-#include "pepperbay/retries/retry_keeper.hpp"
+#include "pepperbay/retries/local_retries.hpp"
+#include "pepperbay/retries/retry_budget_owner.hpp"
 
 #include <cstdint>
 #include <functional>
@@ -34,8 +34,8 @@
   Duration mGiveUpAfter = std::chrono::milliseconds(120);
   /// A keeper that has given nothing, or has not answered, is asked again after this, and after
   /// mAskApart for each node more: in a large fleet all may be refused at once.
-  Duration mAskAgainAfter = std::chrono::milliseconds(100);
-  Duration mAskApart = std::chrono::microseconds(500);
+  Duration mBackoff = std::chrono::milliseconds(100);
+  Duration mBackoffPerNode = std::chrono::microseconds(500);
 };
 
 struct RetryAgentHooks
@@ -47,20 +47,20 @@
 /// What an agent knows of the others.
 struct RetryFleet
 {
-  std::string mKeeper; ///< address; empty: none is known, or this node itself
-  KeeperRight mRight = KeeperRight::Always();
+  std::string mBudgetOwner; ///< address; empty: none is known, or this node itself
+  RetryBudgetLease mLease = RetryBudgetLease::Always();
   int mNodes = 1; ///< that may be at work, this one included
 };
 
 struct RetryCounters
 {
-  std::uint64_t mEarned = 0;   ///< granted as earned by this node's own requests
-  std::uint64_t mByKeeper = 0; ///< granted by the keeper, this node or another
-  std::uint64_t mOwnPart = 0;  ///< granted without the keeper
+  std::uint64_t mEarned = 0;        ///< granted as earned by this node's own requests
+  std::uint64_t mByBudgetOwner = 0; ///< granted by the keeper, this node or another
+  std::uint64_t mLocalShare = 0;    ///< granted without the keeper
   std::uint64_t mRefused = 0;
-  std::uint64_t mAsked = 0;   ///< questions to the keeper
-  std::uint64_t mGivenUp = 0; ///< of these, without an answer
-  std::uint64_t mGiven = 0;   ///< to other nodes
+  std::uint64_t mAsked = 0;           ///< questions to the keeper
+  std::uint64_t mTimedOut = 0;        ///< of these, without an answer
+  std::uint64_t mGrantedToOthers = 0; ///< to other nodes
 };
 
 /// Used by one thread.
@@ -99,26 +99,26 @@
   struct Pending
   {
     std::string mService;
-    std::string mKeeper; ///< address of the one that was asked
+    std::string mBudgetOwner; ///< address of the one that was asked
     Done mDone;
     TimePoint mSent{};
     bool mResent = false;
   };
 
   /// Tells a question from all others.
-  struct Question
+  struct QuestionId
   {
     std::string mNode;
     std::uint64_t mIncarnation = 0;
     std::uint64_t mId = 0;
 
-    friend bool operator<(const Question& aLeft, const Question& aRight)
+    friend bool operator<(const QuestionId& aLeft, const QuestionId& aRight)
     {
       return std::tie(aLeft.mNode, aLeft.mIncarnation, aLeft.mId) <
              std::tie(aRight.mNode, aRight.mIncarnation, aRight.mId);
     }
   };
-  struct Given
+  struct Decision
   {
     bool mGranted = false;
     TimePoint mAt{};
@@ -127,24 +127,24 @@
   TimePoint Now() const { return mHooks.mNow(); }
   EarnedRetries& EarnedOf(const std::string& aService);
   EarnedRetries::Options EarnedOptions() const;
-  bool MayAskKeeper(const std::string& aService) const;
+  bool MayAskBudgetOwner(const std::string& aService) const;
   void SendQuestion(std::uint64_t aId);
   /// The keeper has given nothing: this node's own part is left.
-  void WithoutKeeper(const std::string& aService, const Done& aDone);
+  void UseLocalShare(const std::string& aService, const Done& aDone);
   /// Decide for another node, once for each question.
-  bool Give(const Question& aQuestion, const std::string& aService);
+  bool DecideOnce(const QuestionId& aQuestion, const std::string& aService);
   void OnQuestion(const proto::PlaceMessage& aMessage);
   void OnAnswer(const proto::RetryAnswer& aAnswer);
 
   RetryAgentOptions mOptions;
   RetryAgentHooks mHooks;
   RetryFleet mFleet;
-  RetryKeeper mKeeper;
-  OwnRetries mOwn;
+  RetryBudgetOwner mBudgetOwner;
+  LocalRetries mLocal;
   std::map<std::string, EarnedRetries> mEarned;   ///< by service
   std::map<std::string, TimePoint> mAskNotBefore; ///< the keeper, by service
   std::map<std::uint64_t, Pending> mPending;      ///< by question
-  std::map<Question, Given> mGiven;               ///< as the keeper, lately
+  std::map<QuestionId, Decision> mDecisions;      ///< as the keeper, lately
   std::uint64_t mLastId = 0;
   RetryCounters mCounters;
 };
--- a/include/pepperbay/retries/retry_keeper.hpp
+++ b/include/pepperbay/retries/retry_budget_owner.hpp
@@ -11,13 +11,16 @@
 namespace pepperbay {
 
 /// The right to give out, alone among all nodes.
-struct KeeperRight
+struct RetryBudgetLease
 {
   TimePoint mSince{}; ///< without a break
   TimePoint mUntil{};
 
   /// Of a node that has no others.
-  static KeeperRight Always() { return { TimePoint{} - std::chrono::hours(1), TimePoint::max() }; }
+  static RetryBudgetLease Always()
+  {
+    return { TimePoint{} - std::chrono::hours(1), TimePoint::max() };
+  }
 };
 
 /// Keeps a bucket for each service while it has the right to. A keeper that takes over has nothing
@@ -28,14 +31,14 @@
 /// keeper.SetRight(plan.mKeeperRight);
 /// granted = keeper.Take("search", now);
 /// @endcode
-class RetryKeeper
+class RetryBudgetOwner
 {
 public:
-  RetryKeeper(RetryLimits aLimits, RetryParts aParts);
+  RetryBudgetOwner(RetryLimits aLimits, RetryParts aParts);
 
   void SetLimits(RetryLimits aLimits) { mLimits = aLimits; }
-  void SetRight(KeeperRight aRight);
-  bool Keeps(TimePoint aNow) const { return aNow < mRight.mUntil; }
+  void SetLease(RetryBudgetLease aLease);
+  bool OwnsBudget(TimePoint aNow) const { return aNow < mLease.mUntil; }
   /// @return whether one more second attempt may be made; it is then spent.
   bool Take(const std::string& aService, TimePoint aNow);
   bool MayTake(const std::string& aService, TimePoint aNow);
@@ -45,7 +48,7 @@
 
   RetryLimits mLimits;
   RetryParts mParts;
-  KeeperRight mRight;
+  RetryBudgetLease mLease;
   std::map<std::string, TokenBucket> mBuckets; ///< by service
 };
 
--- a/scripts/mutants/retries.sh
+++ b/scripts/mutants/retries.sh
@@ -3,23 +3,23 @@
 # shellcheck shell=bash disable=SC2154
 retries=$s/retries
 agent=retries_retry_agent_test
-mutant "a keeper that takes over starts full" $retries/retry_keeper.cpp \
-  's/TokenBucket\(options, mRight.mSince\)/TokenBucket(options, mRight.mSince - std::chrono::hours(1))/' $agent '*TheSumHolds*'
-mutant "whoever kept the budget once goes on" $retries/retry_keeper.cpp \
-  's/if \(!Keeps\(aNow\) \|\|/if (/' $agent '*TheSumHolds*'
+mutant "a keeper that takes over starts full" $retries/retry_budget_owner.cpp \
+  's/TokenBucket\(options, mLease.mSince\)/TokenBucket(options, mLease.mSince - std::chrono::hours(1))/' $agent '*TheSumHolds*'
+mutant "whoever kept the budget once goes on" $retries/retry_budget_owner.cpp \
+  's/if \(!OwnsBudget\(aNow\) \|\|/if (/' $agent '*TheSumHolds*'
 mutant "a question that is sent again is counted again" $retries/retry_agent.cpp \
-  's/if \(before != mGiven.end\(\)\)/if (false)/' $agent '*CountedOnce*'
+  's/if \(before != mDecisions.end\(\)\)/if (false)/' $agent '*CountedOnce*'
 mutant "what was earned is never spent" $s/admission/earned_retries.cpp \
   's/  \+\+Current\(aNow\).mTaken;//' $agent '*TheSumHolds*'
 mutant "a request earns the whole share" $retries/retry_agent.cpp \
   's/mOptions.mLimits.mShare \* mOptions.mParts.mEarned/2.5 * mOptions.mLimits.mShare/' $agent '*TheSumHolds*'
-mutant "nodes have whole parts of their own" $retries/own_retries.cpp \
+mutant "nodes have whole parts of their own" $retries/local_retries.cpp \
   's/PerSecond\(mParts.mOwnRate\) \/ aNodes/PerSecond(mParts.mOwnRate)/; s/mParts.mOwnDepth \/ aNodes/mParts.mOwnDepth/' \
-  $agent '*StayWithinTheirPart*'
+  $agent '*StayWithinTheirShare*'
 mutant "the keeper is asked for ever" $retries/retry_agent.cpp \
   's/now - pending.mSent >= mOptions.mGiveUpAfter/false/' $agent '*OneTimeout*'
 mutant "no keeper is asked" $retries/retry_agent.cpp \
-  's/return !mFleet.mKeeper.empty\(\) \&\&/return false \&\& !mFleet.mKeeper.empty() \&\&/' $agent '*ASecondAttemptSoon*'
+  's/return !mFleet.mBudgetOwner.empty\(\) \&\&/return false \&\& !mFleet.mBudgetOwner.empty() \&\&/' $agent '*ASecondAttemptSoon*'
 mutant "two keepers" $s/coordinator/coordinator_rate_leases.cpp \
   's/  if \(mStopping \|\| !mLease.Held\(\)\) \{/  if (mStopping) {/' coordinator_coordinator_limits_test '*TheHolderKeeps*'
 mutant "second attempts go on kept connections" $s/relay/exchange_sending.cpp \
--- a/scripts/mutants/shared_pool.sh
+++ b/scripts/mutants/shared_pool.sh
@@ -27,7 +27,7 @@
 mutant "no configuration counts as no route" $relay/exchange.cpp \
   's/Refuse\("no_configuration"\)/Answer(kNotFound, "no_route", "")/' relay_relay_test '*WithoutAConfiguration*'
 mutant "second attempts without a budget" $s/retries/retry_agent.cpp \
-  's/const bool granted = mOwn.Take.*/const bool granted = true;/; s/return EarnedOf\(aService\).MayTake.*/return true || EarnedOf(aService).MayTake(now) ||/' relay_relay_test '*WithinTheBudget*'
+  's/const bool granted = mLocal.Take.*/const bool granted = true;/; s/return EarnedOf\(aService\).MayTake.*/return true || EarnedOf(aService).MayTake(now) ||/' relay_relay_test '*WithinTheBudget*'
 mutant "the caller's deadline is passed on as it came" $relay/exchange_sending.cpp \
   's/std::max<Duration>\(Left\(\) - kDeadlineMargin, /std::max<Duration>(mDeadlineAt - mArrived, /' \
   relay_relay_test '*LessTime*'
--- a/src/pepperbay/places/limited_engines.hpp
+++ b/src/pepperbay/places/limited_engines.hpp
@@ -30,8 +30,8 @@
   struct Arrival
   {
     TimePoint mAt{};
-    bool mTold = false;    ///< the node had passed on an answer with a limit half a second before
-    bool mOwnPart = false; ///< sent by the node's own part of the limit, counted by no desk
+    bool mTold = false; ///< the node had passed on an answer with a limit half a second before
+    bool mLocalShare = false; ///< sent by the node's own part of the limit, counted by no desk
   };
 
   /// Which requests are looked at.
@@ -110,7 +110,7 @@
 private:
   static bool IsOneOf(Which aWhich, const Arrival& aArrival)
   {
-    return aWhich == Which::kAll || aArrival.mOwnPart == (aWhich == Which::kOwnPart);
+    return aWhich == Which::kAll || aArrival.mLocalShare == (aWhich == Which::kOwnPart);
   }
 
   static constexpr milliseconds kStep{ 10 };
@@ -185,7 +185,7 @@
     }
     const auto& toldAt = mToldAt[aPlace.mHead.mId];
     const auto told = toldAt.find(aNode);
-    const std::uint64_t byOwnParts = mWorld->mNodes[aNode].mAgent->Counters().mOwnPart;
+    const std::uint64_t byOwnParts = mWorld->mNodes[aNode].mAgent->Counters().mLocalShare;
     const bool own = byOwnParts != std::exchange(mByOwnParts[aNode], byOwnParts);
     mArrivals[aPlace.mHead.mId].push_back(
       { Now(), told != toldAt.end() && Now() - told->second >= kToldAfter, own });
--- a/src/pepperbay/places/place_agent.cpp
+++ b/src/pepperbay/places/place_agent.cpp
@@ -57,7 +57,7 @@
   , mHooks(std::move(aHooks))
   , mBalancer(aBalancer)
   , mBook([this](const std::string& aHead) { mBalancer->OnEnd(aHead); })
-  , mOwnPart({ mOptions.mNode })
+  , mLocalShare({ mOptions.mNode })
 {
 }
 
@@ -460,7 +460,7 @@
   TellEnds();
   mBook.Tick(now);
   mLedger.Tick(now);
-  mOwnPart.Tick(now);
+  mLocalShare.Tick(now);
   RetainLimits();
   std::vector<std::uint64_t> late;
   for (auto& [id, pending] : mPending) {
@@ -475,7 +475,7 @@
   for (const auto id : late) {
     Pending pending = std::move(mPending.at(id));
     mPending.erase(id);
-    ++mCounters.mGivenUp;
+    ++mCounters.mTimedOut;
     mPassOver[pending.mDesk.mNode] = now + mOptions.mPassOver;
     // Its answer may have been lost, and the place be kept for nobody.
     Held& held = mHeld[pending.mDesk.mNode];
--- a/src/pepperbay/places/place_agent_test.cpp
+++ b/src/pepperbay/places/place_agent_test.cpp
@@ -102,7 +102,7 @@
     EXPECT_EQ(world.Ask(node).mTicket.mDesk, "second");
   }
   EXPECT_EQ(world.mClock.Now(), later) << "the silent desk is not asked again at once";
-  EXPECT_EQ(node.mAgent->Counters().mGivenUp, 1U);
+  EXPECT_EQ(node.mAgent->Counters().mTimedOut, 1U);
 }
 
 /// No desk answers: a node goes by what it knows itself, and nodes that cannot see each other do
@@ -211,7 +211,7 @@
     world.Ask(world.mNodes[2]);
     world.Run(milliseconds(400)); // d1 is asked first again
   }
-  EXPECT_EQ(world.mNodes[2].mAgent->Counters().mGivenUp, 20U);
+  EXPECT_EQ(world.mNodes[2].mAgent->Counters().mTimedOut, 20U);
   world.mLoses = nullptr;
   PlaceRequest request;
   request.mService = "pool";
--- a/src/pepperbay/places/place_limits.cpp
+++ b/src/pepperbay/places/place_limits.cpp
@@ -104,7 +104,7 @@
     may = aChooser != Chooser::kOwnPart &&
           mLedger.MayTake(Limited(aEngine, *limit), aWork, aClaimant, Now());
   } else if (aChooser == Chooser::kAlone || aChooser == Chooser::kOwnPart) {
-    may = mOwnPart.MayUse(ShortId(aEngine.mId), *limit, mPlan->mListedNodes, Now());
+    may = mLocalShare.MayUse(ShortId(aEngine.mId), *limit, mPlan->mListedNodes, Now());
   }
   return may ? RateStanding::kMayTake : RateStanding::kExhausted;
 }
@@ -124,8 +124,8 @@
     return limit;
   }
   if (aChooser == Chooser::kAlone || aChooser == Chooser::kOwnPart) {
-    mOwnPart.Use(ShortId(aEngine.mId), Now());
-    ++mCounters.mOwnPart;
+    mLocalShare.Use(ShortId(aEngine.mId), Now());
+    ++mCounters.mLocalShare;
     return limit;
   }
   return std::nullopt;
--- a/src/pepperbay/relay/relay_core.cpp
+++ b/src/pepperbay/relay/relay_core.cpp
@@ -126,8 +126,8 @@
       [this](const std::string& aPeer) { return !aPeer.empty() && !mConnector.IsPeer(aPeer); });
   }
   const RetryKeeperPlan& keeper = mPlan->mRetryKeeper;
-  const KeeperRight right =
-    keeper.mOwn ? KeeperRight{ keeper.mOwn->mSince, keeper.mOwn->mUntil } : KeeperRight{};
+  const RetryBudgetLease right =
+    keeper.mOwn ? RetryBudgetLease{ keeper.mOwn->mSince, keeper.mOwn->mUntil } : RetryBudgetLease{};
   mRetries.SetFleet({ keeper.mAddress, right, mPlan->mListedNodes });
 }
 
--- a/src/pepperbay/retries/own_retries.cpp
+++ b/src/pepperbay/retries/local_retries.cpp
@@ -1,24 +1,24 @@
-#include "pepperbay/retries/own_retries.hpp"
+#include "pepperbay/retries/local_retries.hpp"
 
 #include "pepperbay/base/hash.hpp"
 
 namespace pepperbay {
 
-OwnRetries::OwnRetries(const std::string& aNode, RetryLimits aLimits, RetryParts aParts)
+LocalRetries::LocalRetries(const std::string& aNode, RetryLimits aLimits, RetryParts aParts)
   : mLimits(aLimits)
   , mParts(aParts)
-  , mRare({ aNode, 1.0 })
+  , mSchedule({ aNode, 1.0 })
 {
 }
 
 double
-OwnRetries::PerSecond(double aPart) const
+LocalRetries::PerSecond(double aPart) const
 {
   return mLimits.mSlack * aPart / std::chrono::duration<double>(mLimits.mWindow).count();
 }
 
 TokenBucket&
-OwnRetries::BucketOf(const std::string& aService, int aNodes, TimePoint aNow)
+LocalRetries::BucketOf(const std::string& aService, int aNodes, TimePoint aNow)
 {
   const TokenBucket::Options options{ PerSecond(mParts.mOwnRate) / aNodes,
                                       mLimits.mSlack * mParts.mOwnDepth / aNodes };
@@ -30,25 +30,25 @@
 }
 
 bool
-OwnRetries::MayTake(const std::string& aService, int aNodes, TimePoint aNow)
+LocalRetries::MayTake(const std::string& aService, int aNodes, TimePoint aNow)
 {
-  if (IsWhole(aNodes)) {
+  if (HasWholeAttempt(aNodes)) {
     return BucketOf(aService, aNodes, aNow).Level(aNow) >= 1.0;
   }
   return mLimits.mSlack * (mParts.mOwnDepth + mParts.mOwnRate) >= mParts.mLeastOwn &&
-         mRare.MayUse(ShortId(aService), PerSecond(mParts.mRareRate), aNodes, aNow);
+         mSchedule.MayUse(ShortId(aService), PerSecond(mParts.mRareRate), aNodes, aNow);
 }
 
 bool
-OwnRetries::Take(const std::string& aService, int aNodes, TimePoint aNow)
+LocalRetries::Take(const std::string& aService, int aNodes, TimePoint aNow)
 {
   if (!MayTake(aService, aNodes, aNow)) {
     return false;
   }
-  if (IsWhole(aNodes)) {
+  if (HasWholeAttempt(aNodes)) {
     return BucketOf(aService, aNodes, aNow).Take(aNow);
   }
-  mRare.Use(ShortId(aService), aNow);
+  mSchedule.Use(ShortId(aService), aNow);
   return true;
 }
 
--- a/src/pepperbay/retries/retry_agent.cpp
+++ b/src/pepperbay/retries/retry_agent.cpp
@@ -9,15 +9,15 @@
 namespace {
 
 /// A question that is sent again comes within this.
-constexpr std::chrono::seconds kMostResent{ 1 };
+constexpr std::chrono::seconds kMaxResendDelay{ 1 };
 
 } // namespace
 
 RetryAgent::RetryAgent(RetryAgentOptions aOptions, RetryAgentHooks aHooks)
   : mOptions(std::move(aOptions))
   , mHooks(std::move(aHooks))
-  , mKeeper(mOptions.mLimits, mOptions.mParts)
-  , mOwn(mOptions.mNode, mOptions.mLimits, mOptions.mParts)
+  , mBudgetOwner(mOptions.mLimits, mOptions.mParts)
+  , mLocal(mOptions.mNode, mOptions.mLimits, mOptions.mParts)
 {
   SetFleet({});
 }
@@ -26,15 +26,15 @@
 RetryAgent::SetFleet(RetryFleet aFleet)
 {
   mFleet = std::move(aFleet);
-  mKeeper.SetRight(mFleet.mRight);
+  mBudgetOwner.SetLease(mFleet.mLease);
 }
 
 void
 RetryAgent::SetLimits(const RetryLimits& aLimits)
 {
   mOptions.mLimits = aLimits;
-  mKeeper.SetLimits(aLimits);
-  mOwn.SetLimits(aLimits);
+  mBudgetOwner.SetLimits(aLimits);
+  mLocal.SetLimits(aLimits);
   for (auto& [service, earned] : mEarned) {
     earned.SetOptions(EarnedOptions());
   }
@@ -62,10 +62,10 @@
 }
 
 bool
-RetryAgent::MayAskKeeper(const std::string& aService) const
+RetryAgent::MayAskBudgetOwner(const std::string& aService) const
 {
   const auto it = mAskNotBefore.find(aService);
-  return !mFleet.mKeeper.empty() && mHooks.mSend &&
+  return !mFleet.mBudgetOwner.empty() && mHooks.mSend &&
          (it == mAskNotBefore.end() || Now() >= it->second);
 }
 
@@ -73,8 +73,8 @@
 RetryAgent::MayTry(const std::string& aService)
 {
   const TimePoint now = Now();
-  return EarnedOf(aService).MayTake(now) || mKeeper.MayTake(aService, now) ||
-         MayAskKeeper(aService) || mOwn.MayTake(aService, mFleet.mNodes, now);
+  return EarnedOf(aService).MayTake(now) || mBudgetOwner.MayTake(aService, now) ||
+         MayAskBudgetOwner(aService) || mLocal.MayTake(aService, mFleet.mNodes, now);
 }
 
 void
@@ -86,17 +86,17 @@
     aDone(true);
     return;
   }
-  if (mKeeper.Take(aService, now)) {
-    ++mCounters.mByKeeper;
+  if (mBudgetOwner.Take(aService, now)) {
+    ++mCounters.mByBudgetOwner;
     aDone(true);
     return;
   }
-  if (mKeeper.Keeps(now) || !MayAskKeeper(aService)) {
-    WithoutKeeper(aService, aDone);
+  if (mBudgetOwner.OwnsBudget(now) || !MayAskBudgetOwner(aService)) {
+    UseLocalShare(aService, aDone);
     return;
   }
   const std::uint64_t id = ++mLastId;
-  mPending[id] = { aService, mFleet.mKeeper, std::move(aDone), now, false };
+  mPending[id] = { aService, mFleet.mBudgetOwner, std::move(aDone), now, false };
   ++mCounters.mAsked;
   SendQuestion(id);
 }
@@ -105,7 +105,7 @@
 RetryAgent::SendQuestion(std::uint64_t aId)
 {
   // A copy, since the answer may come within the call and end the question.
-  const std::string keeper = mPending.at(aId).mKeeper;
+  const std::string owner = mPending.at(aId).mBudgetOwner;
   proto::PlaceMessage message;
   message.set_node(mOptions.mNode);
   message.set_incarnation(mOptions.mIncarnation);
@@ -113,14 +113,14 @@
   ask->set_id(aId);
   ask->set_service(mPending.at(aId).mService);
   ask->set_reply_address(mOptions.mAddress);
-  mHooks.mSend(keeper, message.SerializeAsString());
+  mHooks.mSend(owner, message.SerializeAsString());
 }
 
 void
-RetryAgent::WithoutKeeper(const std::string& aService, const Done& aDone)
+RetryAgent::UseLocalShare(const std::string& aService, const Done& aDone)
 {
-  const bool granted = mOwn.Take(aService, mFleet.mNodes, Now());
-  ++(granted ? mCounters.mOwnPart : mCounters.mRefused);
+  const bool granted = mLocal.Take(aService, mFleet.mNodes, Now());
+  ++(granted ? mCounters.mLocalShare : mCounters.mRefused);
   aDone(granted);
 }
 
@@ -144,22 +144,23 @@
   auto* answer = message.mutable_retry_answer();
   answer->set_id(ask.id());
   answer->set_incarnation(aMessage.incarnation());
-  answer->set_granted(Give({ aMessage.node(), aMessage.incarnation(), ask.id() }, ask.service()));
+  answer->set_granted(
+    DecideOnce({ aMessage.node(), aMessage.incarnation(), ask.id() }, ask.service()));
   if (mHooks.mSend) {
     mHooks.mSend(ask.reply_address(), message.SerializeAsString());
   }
 }
 
 bool
-RetryAgent::Give(const Question& aQuestion, const std::string& aService)
+RetryAgent::DecideOnce(const QuestionId& aQuestion, const std::string& aService)
 {
-  const auto before = mGiven.find(aQuestion);
-  if (before != mGiven.end()) {
+  const auto before = mDecisions.find(aQuestion);
+  if (before != mDecisions.end()) {
     return before->second.mGranted; // sent again
   }
-  const bool granted = mKeeper.Take(aService, Now());
-  mCounters.mGiven += granted ? 1 : 0;
-  mGiven[aQuestion] = { granted, Now() };
+  const bool granted = mBudgetOwner.Take(aService, Now());
+  mCounters.mGrantedToOthers += granted ? 1 : 0;
+  mDecisions[aQuestion] = { granted, Now() };
   return granted;
 }
 
@@ -173,22 +174,22 @@
   const Pending pending = std::move(it->second);
   mPending.erase(it);
   if (aAnswer.granted()) {
-    ++mCounters.mByKeeper;
+    ++mCounters.mByBudgetOwner;
     pending.mDone(true);
     return;
   }
   mAskNotBefore[pending.mService] =
-    Now() + mOptions.mAskAgainAfter + mOptions.mAskApart * mFleet.mNodes;
-  WithoutKeeper(pending.mService, pending.mDone);
+    Now() + mOptions.mBackoff + mOptions.mBackoffPerNode * mFleet.mNodes;
+  UseLocalShare(pending.mService, pending.mDone);
 }
 
 void
 RetryAgent::Tick()
 {
   const TimePoint now = Now();
-  mOwn.Tick(now);
-  for (auto it = mGiven.begin(); it != mGiven.end();) {
-    it = now - it->second.mAt > kMostResent ? mGiven.erase(it) : std::next(it);
+  mLocal.Tick(now);
+  for (auto it = mDecisions.begin(); it != mDecisions.end();) {
+    it = now - it->second.mAt > kMaxResendDelay ? mDecisions.erase(it) : std::next(it);
   }
   std::vector<std::uint64_t> late;
   std::vector<std::uint64_t> again;
@@ -210,10 +211,10 @@
     }
     const Pending pending = std::move(it->second);
     mPending.erase(it);
-    ++mCounters.mGivenUp;
+    ++mCounters.mTimedOut;
     mAskNotBefore[pending.mService] =
-      now + mOptions.mAskAgainAfter + mOptions.mAskApart * mFleet.mNodes;
-    WithoutKeeper(pending.mService, pending.mDone);
+      now + mOptions.mBackoff + mOptions.mBackoffPerNode * mFleet.mNodes;
+    UseLocalShare(pending.mService, pending.mDone);
   }
 }
 
--- a/src/pepperbay/retries/retry_agent_test.cpp
+++ b/src/pepperbay/retries/retry_agent_test.cpp
@@ -1,5 +1,5 @@
 /// The budget of second attempts that all nodes share.
-#include "retry_world.hpp"
+#include "retry_simulation.hpp"
 
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
@@ -23,26 +23,26 @@
 class Trial
 {
 public:
-  explicit Trial(RetryWorldOptions aOptions)
-    : mWorld(aOptions)
+  explicit Trial(RetrySimulationOptions aOptions)
+    : mSimulation(aOptions)
     , mAccount(aOptions.mLimits)
   {
   }
 
   void Run(const Load& aLoad, Duration aFor)
   {
-    for (const TimePoint end = mWorld.Now() + aFor; mWorld.Now() < end;) {
-      mWorld.Step();
+    for (const TimePoint end = mSimulation.Now() + aFor; mSimulation.Now() < end;) {
+      mSimulation.Step();
       const double perStep =
-        aLoad.mPerSecond * std::chrono::duration<double>(RetryWorld::kStep).count();
+        aLoad.mPerSecond * std::chrono::duration<double>(RetrySimulation::kStep).count();
       std::poisson_distribution<int> arrivals(perStep);
-      for (int n = arrivals(mWorld.Random()); n > 0; --n) {
+      for (int n = arrivals(mSimulation.Random()); n > 0; --n) {
         Request(aLoad);
       }
     }
   }
 
-  RetryWorld mWorld;
+  RetrySimulation mSimulation;
   RetryAccount mAccount;
   int mWanted = 0;
   int mGranted = 0;
@@ -50,18 +50,18 @@
 private:
   void Request(const Load& aLoad)
   {
-    const std::size_t node = mWorld.Random()() % std::min(aLoad.mCallers, mWorld.Size());
-    mAccount.OnRequest(mWorld.Now());
-    mWorld.Agent(node).OnRequest("plain");
-    if (!std::bernoulli_distribution(aLoad.mFails)(mWorld.Random())) {
+    const std::size_t node = mSimulation.Random()() % std::min(aLoad.mCallers, mSimulation.Size());
+    mAccount.OnRequest(mSimulation.Now());
+    mSimulation.Agent(node).OnRequest("plain");
+    if (!std::bernoulli_distribution(aLoad.mFails)(mSimulation.Random())) {
       return;
     }
     ++mWanted;
-    if (mWorld.Agent(node).MayTry("plain")) {
-      mWorld.Ask(node, [this](bool aGranted) {
+    if (mSimulation.Agent(node).MayTry("plain")) {
+      mSimulation.Ask(node, [this](bool aGranted) {
         if (aGranted) {
           ++mGranted;
-          mAccount.OnRetry(mWorld.Now());
+          mAccount.OnRetry(mSimulation.Now());
         }
       });
     }
@@ -73,16 +73,17 @@
 TEST(RetryAgent, AnyNodeOfALargeFleetHasASecondAttemptSoon)
 {
   for (const int nodes : kFleets) {
-    RetryWorldOptions options;
+    RetrySimulationOptions options;
     options.mNodes = nodes;
-    options.mLatest = milliseconds(40);
-    RetryWorld world(options);
-    world.Run(seconds(10));
-    for (const std::size_t node : { std::size_t{ 0 }, world.Size() / 2, world.Size() - 1 }) {
+    options.mMaxDelay = milliseconds(40);
+    RetrySimulation simulation(options);
+    simulation.Run(seconds(10));
+    for (const std::size_t node :
+         { std::size_t{ 0 }, simulation.Size() / 2, simulation.Size() - 1 }) {
       bool granted = false;
-      ASSERT_TRUE(world.Agent(node).MayTry("plain")) << nodes;
-      world.Ask(node, [&](bool aGranted) { granted = aGranted; });
-      world.Run(milliseconds(140));
+      ASSERT_TRUE(simulation.Agent(node).MayTry("plain")) << nodes;
+      simulation.Ask(node, [&](bool aGranted) { granted = aGranted; });
+      simulation.Run(milliseconds(140));
       EXPECT_TRUE(granted) << "node " << node << " of " << nodes;
     }
   }
@@ -93,7 +94,7 @@
 TEST(RetryAgent, OneNodesCallersMayUseMostOfTheBudget)
 {
   for (const int nodes : kFleets) {
-    RetryWorldOptions options;
+    RetrySimulationOptions options;
     options.mNodes = nodes;
     Trial trial(options);
     trial.Run({ 0, 0, 1 }, seconds(10));
@@ -106,76 +107,77 @@
 
 /// Guards against nodes that wait for a keeper that has ended: their requests would be late, and
 /// fail in the end.
-TEST(RetryAgent, AKeeperThatIsSilentCostsOneTimeout)
+TEST(RetryAgent, ASilentBudgetOwnerCostsOneTimeout)
 {
-  RetryWorldOptions options;
-  RetryWorld world(options);
-  world.Run(seconds(10));
-  world.Stand(world.Keeper(), true);
-  const std::size_t node = world.Keeper() + 1;
+  RetrySimulationOptions options;
+  RetrySimulation simulation(options);
+  simulation.Run(seconds(10));
+  simulation.Freeze(simulation.BudgetOwner(), true);
+  const std::size_t node = simulation.BudgetOwner() + 1;
   int answers = 0;
-  world.Ask(node, [&](bool) { ++answers; });
-  world.Run(milliseconds(140));
+  simulation.Ask(node, [&](bool) { ++answers; });
+  simulation.Run(milliseconds(140));
   EXPECT_EQ(answers, 1);
-  world.Ask(node, [&](bool) { ++answers; });
+  simulation.Ask(node, [&](bool) { ++answers; });
   EXPECT_EQ(answers, 2) << "at once, without the keeper";
 }
 
 /// Guards against a question that is sent again, as its answer was lost, being counted twice.
-TEST(RetryAgent, AQuestionThatIsSentAgainIsCountedOnce)
+TEST(RetryAgent, AResentQuestionIsCountedOnce)
 {
-  RetryWorldOptions options;
-  options.mLatest = milliseconds(40);
+  RetrySimulationOptions options;
+  options.mMaxDelay = milliseconds(40);
   options.mLimits.mSlack = 40; // the keeper has 14 at once
-  RetryWorld world(options);
-  world.Run(seconds(20));
+  RetrySimulation simulation(options);
+  simulation.Run(seconds(20));
   int granted = 0;
   for (int i = 0; i < 12; ++i) {
-    world.Ask(world.Keeper() + 1, [&](bool aGranted) { granted += aGranted ? 1 : 0; });
+    simulation.Ask(simulation.BudgetOwner() + 1,
+                   [&](bool aGranted) { granted += aGranted ? 1 : 0; });
   }
-  world.Run(milliseconds(200));
+  simulation.Run(milliseconds(200));
   EXPECT_EQ(granted, 12);
-  EXPECT_LE(world.Agent(world.Keeper()).Counters().mGiven, 12U);
+  EXPECT_LE(simulation.Agent(simulation.BudgetOwner()).Counters().mGrantedToOthers, 12U);
 }
 
 /// Guards against keepers that end one after the other and each spend the whole slack.
-TEST(RetryAgent, AKeeperThatTakesOverHasNothingSavedUp)
+TEST(RetryAgent, ANewBudgetOwnerStartsEmpty)
 {
-  RetryWorldOptions options;
+  RetrySimulationOptions options;
   options.mLimits.mShare = 0;
   Trial trial(options);
-  const std::size_t nodes = trial.mWorld.Size();
+  const std::size_t nodes = trial.mSimulation.Size();
   trial.Run({ 0, 0, nodes }, seconds(12));
   for (std::size_t i = 1; i <= 5; ++i) {
-    const std::size_t keeper = trial.mWorld.Keeper();
+    const std::size_t owner = trial.mSimulation.BudgetOwner();
     trial.Run({ 400, 1, nodes }, seconds(1));
-    trial.mWorld.Restart(keeper);
-    trial.mWorld.ChangeKeeper(i);
+    trial.mSimulation.Restart(owner);
+    trial.mSimulation.ChangeBudgetOwner(i);
   }
   EXPECT_LE(trial.mAccount.Excess(), 0);
   EXPECT_GT(trial.mGranted, options.mLimits.mSlack / 3);
 }
 
 /// Guards against nodes that each take the part of all where no keeper answers.
-TEST(RetryAgent, NodesWithoutAKeeperStayWithinTheirPart)
+TEST(RetryAgent, NodesWithoutABudgetOwnerStayWithinTheirShare)
 {
   for (const int nodes : kFleets) {
-    RetryWorldOptions options;
+    RetrySimulationOptions options;
     options.mNodes = nodes;
     options.mLimits.mShare = 0;
     Trial trial(options);
-    trial.mWorld.Stand(trial.mWorld.Keeper(), true);
-    trial.Run({ 400, 1, trial.mWorld.Size() }, seconds(2));
+    trial.mSimulation.Freeze(trial.mSimulation.BudgetOwner(), true);
+    trial.Run({ 400, 1, trial.mSimulation.Size() }, seconds(2));
     trial.Run({ 0, 0, 1 }, seconds(20)); // what is saved up comes on top
-    trial.Run({ 400, 1, trial.mWorld.Size() }, seconds(12));
+    trial.Run({ 400, 1, trial.mSimulation.Size() }, seconds(12));
     EXPECT_LE(trial.mAccount.Excess(), 0) << nodes;
   }
 }
 
 /// Guards against nodes whose own times fall together by chance where the slack has no room for it.
-TEST(RetryAgent, NodesHaveNothingOfTheirOwnWhereTheSlackIsSmall)
+TEST(RetryAgent, NodesHaveNoLocalShareWhereTheSlackIsSmall)
 {
-  OwnRetries own("n1", { 0.2, 3, seconds(10) }, {});
+  LocalRetries own("n1", { 0.2, 3, seconds(10) }, {});
   for (TimePoint now{ std::chrono::hours(1) }; now < TimePoint{ std::chrono::hours(2) };
        now += milliseconds(100)) {
     ASSERT_FALSE(own.MayTake("plain", 8, now));
@@ -201,8 +203,8 @@
 {
   Load mLoad;
   int mRestarts = 0; ///< nodes that start anew, one after the other
-  bool mKeeperEnds = false;
-  bool mKeeperStands = false;
+  bool mOwnerRestarts = false;
+  bool mOwnerFreezes = false;
   Duration mFor{ 0 };
 };
 
@@ -214,8 +216,8 @@
   phase.mLoad.mFails = *rc::gen::element(0.0, 0.1, 0.5, 1.0);
   phase.mLoad.mCallers = static_cast<std::size_t>(*rc::gen::element(1, 3, aNodes));
   phase.mRestarts = *rc::gen::element(0, 0, 1, 8, 60);
-  phase.mKeeperEnds = *rc::gen::element(false, false, true);
-  phase.mKeeperStands = *rc::gen::element(false, false, true);
+  phase.mOwnerRestarts = *rc::gen::element(false, false, true);
+  phase.mOwnerFreezes = *rc::gen::element(false, false, true);
   phase.mFor = milliseconds(*rc::gen::inRange(100, 9000));
   return phase;
 }
@@ -223,40 +225,43 @@
 void
 Play(const Phase& aPhase, Trial* aTrial)
 {
-  RetryWorld& world = aTrial->mWorld;
-  const auto some = [&world] { return static_cast<std::size_t>(world.Random()()) % world.Size(); };
-  const std::size_t before = world.Keeper();
-  if (aPhase.mKeeperStands) {
-    world.Stand(before, true);
+  RetrySimulation& simulation = aTrial->mSimulation;
+  const auto some = [&simulation] {
+    return static_cast<std::size_t>(simulation.Random()()) % simulation.Size();
+  };
+  const std::size_t before = simulation.BudgetOwner();
+  if (aPhase.mOwnerFreezes) {
+    simulation.Freeze(before, true);
   }
-  if (aPhase.mKeeperEnds) {
-    world.Restart(before);
+  if (aPhase.mOwnerRestarts) {
+    simulation.Restart(before);
   }
-  if (aPhase.mKeeperEnds || aPhase.mKeeperStands) {
-    world.ChangeKeeper(some());
+  if (aPhase.mOwnerRestarts || aPhase.mOwnerFreezes) {
+    simulation.ChangeBudgetOwner(some());
   }
   const int parts = std::max(1, aPhase.mRestarts);
   for (int i = 0; i < parts; ++i) {
     if (aPhase.mRestarts > 0) {
-      world.Restart(aPhase.mRestarts > 8 ? static_cast<std::size_t>(i) % world.Size() : some());
+      simulation.Restart(aPhase.mRestarts > 8 ? static_cast<std::size_t>(i) % simulation.Size()
+                                              : some());
     }
     aTrial->Run(aPhase.mLoad, aPhase.mFor / parts);
   }
-  world.Stand(before, false);
+  simulation.Freeze(before, false);
 }
 
 /// Guards against more second attempts than a service allows of all nodes together: whoever has the
 /// callers, however often keepers end or stand still and nodes start, and whatever is lost or late.
 RC_GTEST_PROP(RetryAgentProperty, TheSumHoldsInEachWindow, ())
 {
-  RetryWorldOptions options;
+  RetrySimulationOptions options;
   options.mNodes = *rc::gen::weightedElement<int>({ { 8, 8 }, { 4, 75 }, { 3, 295 }, { 1, 1300 } });
   options.mLimits.mSlack = *rc::gen::element(0.0, 3.0, 35.2, 134.0, 669.0);
   options.mLimits.mShare = *rc::gen::element(0.0, 0.02, 0.2);
-  options.mLost = *rc::gen::element(0.0, 0.05, 0.5);
-  options.mLatest = milliseconds(*rc::gen::element(0, 30, 150));
-  options.mHeardAfter = milliseconds(*rc::gen::element(0, 200, 1500));
-  options.mMiscounted = *rc::gen::element(0.0, 0.0, 0.2);
+  options.mLossRate = *rc::gen::element(0.0, 0.05, 0.5);
+  options.mMaxDelay = milliseconds(*rc::gen::element(0, 30, 150));
+  options.mAnnounceDelay = milliseconds(*rc::gen::element(0, 200, 1500));
+  options.mUncounted = *rc::gen::element(0.0, 0.0, 0.2);
   options.mSeed = *rc::gen::arbitrary<std::uint32_t>();
   Trial trial(options);
   const int phases = *rc::gen::inRange(2, 6);
@@ -264,7 +269,7 @@
     Play(ArbitraryPhase(options.mNodes), &trial);
   }
   RC_LOG() << options.mNodes << " nodes, slack " << options.mLimits.mSlack << ", lost "
-           << options.mLost << ", miscounted " << options.mMiscounted << ", over by "
+           << options.mLossRate << ", miscounted " << options.mUncounted << ", over by "
            << trial.mAccount.Excess() << "" << std::endl;
   RC_ASSERT(trial.mAccount.Excess() <= 0);
 }
--- a/src/pepperbay/retries/retry_keeper.cpp
+++ b/src/pepperbay/retries/retry_budget_owner.cpp
@@ -1,4 +1,4 @@
-#include "pepperbay/retries/retry_keeper.hpp"
+#include "pepperbay/retries/retry_budget_owner.hpp"
 
 #include <algorithm>
 
@@ -17,31 +17,31 @@
 
 } // namespace
 
-RetryKeeper::RetryKeeper(RetryLimits aLimits, RetryParts aParts)
+RetryBudgetOwner::RetryBudgetOwner(RetryLimits aLimits, RetryParts aParts)
   : mLimits(aLimits)
   , mParts(aParts)
 {
 }
 
 void
-RetryKeeper::SetRight(KeeperRight aRight)
+RetryBudgetOwner::SetLease(RetryBudgetLease aLease)
 {
-  if (aRight.mSince != mRight.mSince) {
+  if (aLease.mSince != mLease.mSince) {
     mBuckets.clear();
   }
-  mRight = aRight;
+  mLease = aLease;
 }
 
 TokenBucket*
-RetryKeeper::BucketOf(const std::string& aService, TimePoint aNow)
+RetryBudgetOwner::BucketOf(const std::string& aService, TimePoint aNow)
 {
   const TokenBucket::Options options = OptionsOf(mLimits, mParts);
-  if (!Keeps(aNow) || options.mPerSecond <= 0) {
+  if (!OwnsBudget(aNow) || options.mPerSecond <= 0) {
     return nullptr;
   }
   // Filled from the beginning of the right on: until now nobody has spent anything of it.
   TokenBucket& bucket =
-    mBuckets.emplace(aService, TokenBucket(options, mRight.mSince)).first->second;
+    mBuckets.emplace(aService, TokenBucket(options, mLease.mSince)).first->second;
   if (bucket.Current().mPerSecond != options.mPerSecond) {
     bucket.SetOptions(options, aNow);
   }
@@ -49,14 +49,14 @@
 }
 
 bool
-RetryKeeper::MayTake(const std::string& aService, TimePoint aNow)
+RetryBudgetOwner::MayTake(const std::string& aService, TimePoint aNow)
 {
   const TokenBucket* bucket = BucketOf(aService, aNow);
   return bucket != nullptr && bucket->Level(aNow) >= 1.0;
 }
 
 bool
-RetryKeeper::Take(const std::string& aService, TimePoint aNow)
+RetryBudgetOwner::Take(const std::string& aService, TimePoint aNow)
 {
   TokenBucket* bucket = BucketOf(aService, aNow);
   return bucket != nullptr && bucket->Take(aNow);
--- a/src/pepperbay/retries/retry_world.hpp
+++ b/src/pepperbay/retries/retry_simulation.hpp
@@ -18,26 +18,26 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-struct RetryWorldOptions
+struct RetrySimulationOptions
 {
   int mNodes = 8;
   RetryLimits mLimits{ 0.2, 134, seconds(10) };
-  double mLost = 0;          ///< share of messages
-  Duration mLatest{ 0 };     ///< messages take up to so long
-  Duration mHeardAfter{ 0 }; ///< nodes know a new keeper so long after it has the right
-  double mMiscounted = 0;    ///< nodes count so large a share of the others too few
+  double mLossRate = 0;         ///< share of messages
+  Duration mMaxDelay{ 0 };      ///< messages take up to so long
+  Duration mAnnounceDelay{ 0 }; ///< nodes know a new keeper so long after it has the right
+  double mUncounted = 0;        ///< nodes count so large a share of the others too few
   std::uint32_t mSeed = 1;
 };
 
-class RetryWorld
+class RetrySimulation
 {
 public:
   static constexpr milliseconds kStep{ 20 };
   /// How long a right lasts without being renewed, and the pause after it, as clocks may differ.
-  static constexpr milliseconds kRight{ 1000 };
+  static constexpr milliseconds kLeaseTime{ 1000 };
   static constexpr milliseconds kGuard{ 20 };
 
-  explicit RetryWorld(RetryWorldOptions aOptions)
+  explicit RetrySimulation(RetrySimulationOptions aOptions)
     : mOptions(aOptions)
     , mRandom(aOptions.mSeed)
     , mNodes(static_cast<std::size_t>(aOptions.mNodes))
@@ -52,7 +52,7 @@
   RetryAgent& Agent(std::size_t aNode) { return *mNodes[aNode].mAgent; }
   std::mt19937& Random() { return mRandom; }
   std::uint64_t Sent() const { return mSent; }
-  std::size_t Keeper() const { return mKeeper; }
+  std::size_t BudgetOwner() const { return mBudgetOwner; }
 
   /// The node's process starts anew and knows nothing; a right that it had is nobody's until it has
   /// run out.
@@ -70,26 +70,26 @@
       Send(aAddress, aBytes);
     };
     node.mAgent = std::make_unique<RetryAgent>(options, hooks);
-    node.mRight = {};
-    node.mStands = false;
-    mKeeps = mKeeps && mKeeper != aNode;
-    Tell(aNode);
+    node.mLease = {};
+    node.mFrozen = false;
+    mLeaseGranted = mLeaseGranted && mBudgetOwner != aNode;
+    UpdateFleet(aNode);
   }
 
   /// The keeper does nothing for now; it goes on later with what it knew.
-  void Stand(std::size_t aNode, bool aStands) { mNodes[aNode].mStands = aStands; }
+  void Freeze(std::size_t aNode, bool aStands) { mNodes[aNode].mFrozen = aStands; }
 
   /// Another node is to have the right, once that of the last has run out.
-  void ChangeKeeper(std::size_t aNode)
+  void ChangeBudgetOwner(std::size_t aNode)
   {
-    mKeeps = false;
+    mLeaseGranted = false;
     mNext = aNode;
   }
 
   /// @param aDone told whether the request may be sent again
   void Ask(std::size_t aNode, RetryAgent::Done aDone)
   {
-    if (!mNodes[aNode].mStands) {
+    if (!mNodes[aNode].mFrozen) {
       Agent(aNode).Ask("plain", std::move(aDone));
     }
   }
@@ -97,10 +97,10 @@
   void Step()
   {
     mClock.Advance(kStep);
-    GiveRight();
+    GrantLease();
     Deliver();
     for (auto& it : mNodes) {
-      if (!it.mStands) {
+      if (!it.mFrozen) {
         it.mAgent->Tick();
       }
     }
@@ -117,8 +117,8 @@
   struct Node
   {
     std::unique_ptr<RetryAgent> mAgent;
-    KeeperRight mRight;
-    bool mStands = false;
+    RetryBudgetLease mLease;
+    bool mFrozen = false;
   };
   struct Message
   {
@@ -127,41 +127,42 @@
     std::string mBytes;
   };
 
-  void GiveRight()
+  void GrantLease()
   {
     const TimePoint now = Now();
-    if (!mKeeps && now >= mRightUntil + kGuard) {
-      mKeeper = mNext;
-      mKeeps = true;
-      mNodes[mKeeper].mRight = { now, now + kRight };
-      mToldAt = now + mOptions.mHeardAfter;
-      mTold = false;
+    if (!mLeaseGranted && now >= mLeaseUntil + kGuard) {
+      mBudgetOwner = mNext;
+      mLeaseGranted = true;
+      mNodes[mBudgetOwner].mLease = { now, now + kLeaseTime };
+      mAnnounceAt = now + mOptions.mAnnounceDelay;
+      mAnnounced = false;
     }
-    if (mKeeps && !mNodes[mKeeper].mStands) {
-      Node& keeper = mNodes[mKeeper];
-      if (now >= keeper.mRight.mUntil) {
-        keeper.mRight.mSince = now;
+    if (mLeaseGranted && !mNodes[mBudgetOwner].mFrozen) {
+      Node& owner = mNodes[mBudgetOwner];
+      if (now >= owner.mLease.mUntil) {
+        owner.mLease.mSince = now;
       }
-      keeper.mRight.mUntil = now + kRight;
-      mRightUntil = keeper.mRight.mUntil;
-      Tell(mKeeper);
+      owner.mLease.mUntil = now + kLeaseTime;
+      mLeaseUntil = owner.mLease.mUntil;
+      UpdateFleet(mBudgetOwner);
     }
-    if (mKeeps && !mTold && now >= mToldAt) {
-      mTold = true;
-      mHeardOf = mKeeper;
-      mHeard = true;
+    if (mLeaseGranted && !mAnnounced && now >= mAnnounceAt) {
+      mAnnounced = true;
+      mAnnouncedOwner = mBudgetOwner;
+      mAnyAnnounced = true;
       for (std::size_t i = 0; i < mNodes.size(); ++i) {
-        Tell(i);
+        UpdateFleet(i);
       }
     }
   }
 
-  void Tell(std::size_t aNode)
+  void UpdateFleet(std::size_t aNode)
   {
     RetryFleet fleet;
-    fleet.mKeeper = mHeard && mHeardOf != aNode ? std::to_string(mHeardOf) : "";
-    fleet.mRight = mNodes[aNode].mRight;
-    const double counted = static_cast<double>(mNodes.size()) * (1 - mOptions.mMiscounted);
+    fleet.mBudgetOwner =
+      mAnyAnnounced && mAnnouncedOwner != aNode ? std::to_string(mAnnouncedOwner) : "";
+    fleet.mLease = mNodes[aNode].mLease;
+    const double counted = static_cast<double>(mNodes.size()) * (1 - mOptions.mUncounted);
     fleet.mNodes = std::max(1, static_cast<int>(counted));
     mNodes[aNode].mAgent->SetFleet(fleet);
   }
@@ -169,10 +170,10 @@
   void Send(const std::string& aAddress, const std::string& aBytes)
   {
     ++mSent;
-    if (std::bernoulli_distribution(mOptions.mLost)(mRandom)) {
+    if (std::bernoulli_distribution(mOptions.mLossRate)(mRandom)) {
       return;
     }
-    std::uniform_int_distribution<Duration::rep> late(0, mOptions.mLatest.count());
+    std::uniform_int_distribution<Duration::rep> late(0, mOptions.mMaxDelay.count());
     mMessages.push_back({ Now() + Duration(late(mRandom)), std::stoul(aAddress), aBytes });
   }
 
@@ -181,7 +182,7 @@
     for (std::size_t n = mMessages.size(); n > 0; --n) {
       Message message = std::move(mMessages.front());
       mMessages.pop_front();
-      if (Now() < message.mAt || mNodes[message.mTo].mStands) {
+      if (Now() < message.mAt || mNodes[message.mTo].mFrozen) {
         mMessages.push_back(std::move(message));
         continue;
       }
@@ -192,21 +193,21 @@
     }
   }
 
-  RetryWorldOptions mOptions;
+  RetrySimulationOptions mOptions;
   std::mt19937 mRandom;
   ManualClock mClock;
   std::vector<Node> mNodes;
   std::deque<Message> mMessages;
   std::uint64_t mIncarnations = 0;
   std::uint64_t mSent = 0;
-  std::size_t mKeeper = 0;
+  std::size_t mBudgetOwner = 0;
   std::size_t mNext = 0;
-  std::size_t mHeardOf = 0;
-  bool mKeeps = false;
-  bool mTold = false;
-  bool mHeard = false;
-  TimePoint mToldAt{};
-  TimePoint mRightUntil{};
+  std::size_t mAnnouncedOwner = 0;
+  bool mLeaseGranted = false;
+  bool mAnnounced = false;
+  bool mAnyAnnounced = false;
+  TimePoint mAnnounceAt{};
+  TimePoint mLeaseUntil{};
 };
 
 } // namespace pepperbay
