--- a/include/pepperbay/retries/local_retries.hpp
+++ b/include/pepperbay/retries/local_retries.hpp
@@ -1,5 +1,6 @@
 /// @file
-/// @brief Second attempts that a node may make when the keeper gives none. Pure.
+/// @brief Retry budget that a node may spend when the budget owner grants nothing. Pure: no I/O and
+/// no clock of its own.
 #pragma once
 
 #include "pepperbay/admission/retry_limits.hpp"
@@ -11,11 +12,11 @@
 
 namespace pepperbay {
 
-/// A node's own part of the slack, one by the number of nodes. Where that is less than one second
-/// attempt, nodes have theirs at times that lie apart by a hash, see OwnPart.
+/// The local share of the slack: one part in the number of nodes. Where that is less than one
+/// second attempt, each node may make one at times offset by a hash of its name, see LocalShare.
 ///
 /// @code
-/// if (own.Take("search", nodes, now)) { sendAgain(); }
+/// if (local.Take("search", nodes, now)) { sendAgain(); }
 /// @endcode
 class LocalRetries
 {
@@ -23,17 +24,17 @@
   LocalRetries(const std::string& aNode, RetryLimits aLimits, RetryParts aParts);
 
   void SetLimits(RetryLimits aLimits) { mLimits = aLimits; }
-  /// @param aNodes that may be at work, this one included
+  /// @param aNodes number of nodes that may be running, this one included
   bool MayTake(const std::string& aService, int aNodes, TimePoint aNow);
-  /// @return whether there was one to take
+  /// @return whether a second attempt was available; it is then spent.
   bool Take(const std::string& aService, int aNodes, TimePoint aNow);
   void Tick(TimePoint aNow) { mSchedule.Tick(aNow); }
 
 private:
   TokenBucket& BucketOf(const std::string& aService, int aNodes, TimePoint aNow);
-  /// @return whether the part is at least one.
+  /// @return whether the local share is at least one second attempt.
   bool HasWholeAttempt(int aNodes) const { return mLimits.mSlack * mParts.mOwnDepth >= aNodes; }
-  /// @param aPart of the slack, in a window
+  /// @param aPart fraction of the slack that is available in one window
   double PerSecond(double aPart) const;
 
   RetryLimits mLimits;
--- a/include/pepperbay/retries/retry_agent.hpp
+++ b/include/pepperbay/retries/retry_agent.hpp
@@ -1,10 +1,11 @@
 /// @file
-/// @brief One node's part in the budget of second attempts that all nodes share. Pure.
+/// @brief One node's use of the retry budget that all nodes share. Pure: no I/O and no clock of its
+/// own.
 ///
-/// Divided by the number of nodes, the budget is less than one second attempt a node in a large
-/// fleet, which is none. So a node spends what its own requests have earned, and asks for the rest
-/// when it needs it: one node, the keeper, gives out the slack for all. Where no keeper answers,
-/// nodes have small parts of their own.
+/// In a large fleet, the budget divided by the number of nodes is less than one second attempt per
+/// node, which is none. So a node spends what its own requests have earned, and asks for more when
+/// it needs it: one node, the budget owner, grants second attempts from the slack to all nodes.
+/// Where no budget owner answers, nodes have small local shares.
 #pragma once
 
 #include "pepperbay/admission/earned_retries.hpp"
@@ -25,15 +26,16 @@
 {
   std::string mNode;
   std::uint64_t mIncarnation = 0;
-  std::string mAddress; ///< where this node hears the keeper; `IP:port`, UDP
+  std::string
+    mAddress; ///< address at which this node receives answers of the budget owner; `IP:port`, UDP
   RetryLimits mLimits;
   RetryParts mParts;
-  /// A question without an answer is sent again after this.
+  /// A question is sent again once if it is not answered within this time.
   Duration mResendAfter = std::chrono::milliseconds(20);
-  /// And given up after this: a round trip between regions and the resend.
+  /// A question is abandoned after this time: a round trip between regions and the resend.
   Duration mGiveUpAfter = std::chrono::milliseconds(120);
-  /// A keeper that has given nothing, or has not answered, is asked again after this, and after
-  /// mAskApart for each node more: in a large fleet all may be refused at once.
+  /// After a refusal or an unanswered question, the budget owner is not asked for this time plus
+  /// mBackoffPerNode for each node, since in a large fleet all nodes may be refused at once.
   Duration mBackoff = std::chrono::milliseconds(100);
   Duration mBackoffPerNode = std::chrono::microseconds(500);
 };
@@ -44,26 +46,26 @@
   std::function<void(const std::string& aAddress, const std::string& aBytes)> mSend;
 };
 
-/// What an agent knows of the others.
+/// What an agent knows of the other nodes.
 struct RetryFleet
 {
-  std::string mBudgetOwner; ///< address; empty: none is known, or this node itself
+  std::string mBudgetOwner; ///< address; empty: none is known, or it is this node
   RetryBudgetLease mLease = RetryBudgetLease::Always();
-  int mNodes = 1; ///< that may be at work, this one included
+  int mNodes = 1; ///< nodes that may be running, this one included
 };
 
 struct RetryCounters
 {
   std::uint64_t mEarned = 0;        ///< granted as earned by this node's own requests
-  std::uint64_t mByBudgetOwner = 0; ///< granted by the keeper, this node or another
-  std::uint64_t mLocalShare = 0;    ///< granted without the keeper
+  std::uint64_t mByBudgetOwner = 0; ///< granted by the budget owner, this node or another
+  std::uint64_t mLocalShare = 0;    ///< granted from the local share
   std::uint64_t mRefused = 0;
-  std::uint64_t mAsked = 0;           ///< questions to the keeper
-  std::uint64_t mTimedOut = 0;        ///< of these, without an answer
-  std::uint64_t mGrantedToOthers = 0; ///< to other nodes
+  std::uint64_t mAsked = 0;           ///< questions sent to the budget owner
+  std::uint64_t mTimedOut = 0;        ///< questions that were not answered in time
+  std::uint64_t mGrantedToOthers = 0; ///< granted to other nodes, as the budget owner
 };
 
-/// Used by one thread.
+/// Not thread-safe: used by one thread.
 ///
 /// @code
 /// agent.OnRequest("search");
@@ -81,16 +83,16 @@
   void SetFleet(RetryFleet aFleet);
   void SetLimits(const RetryLimits& aLimits);
 
-  /// A request of a caller has come; not for its second attempts.
+  /// A request of a caller has arrived; not called for its second attempts.
   void OnRequest(const std::string& aService);
-  /// @return whether it is worth asking for a second attempt now.
+  /// @return whether a second attempt may be granted now.
   bool MayTry(const std::string& aService);
   /// @param aDone called exactly once, perhaps before this returns
   void Ask(const std::string& aService, Done aDone);
 
-  /// A question to the keeper, or its answer.
+  /// Handle a question to the budget owner, or its answer.
   void OnMessage(const proto::PlaceMessage& aMessage);
-  /// Do what is due; call every few tens of milliseconds.
+  /// Handle resends and time-outs; call every few tens of milliseconds.
   void Tick();
 
   const RetryCounters& Counters() const { return mCounters; }
@@ -99,13 +101,13 @@
   struct Pending
   {
     std::string mService;
-    std::string mBudgetOwner; ///< address of the one that was asked
+    std::string mBudgetOwner; ///< address of the node that was asked
     Done mDone;
     TimePoint mSent{};
     bool mResent = false;
   };
 
-  /// Tells a question from all others.
+  /// Identifies a question among those of all nodes.
   struct QuestionId
   {
     std::string mNode;
@@ -129,9 +131,9 @@
   EarnedRetries::Options EarnedOptions() const;
   bool MayAskBudgetOwner(const std::string& aService) const;
   void SendQuestion(std::uint64_t aId);
-  /// The keeper has given nothing: this node's own part is left.
+  /// The budget owner has granted nothing: use the local share.
   void UseLocalShare(const std::string& aService, const Done& aDone);
-  /// Decide for another node, once for each question.
+  /// Decide on a question of another node; a resent question gets the first decision.
   bool DecideOnce(const QuestionId& aQuestion, const std::string& aService);
   void OnQuestion(const proto::PlaceMessage& aMessage);
   void OnAnswer(const proto::RetryAnswer& aAnswer);
@@ -142,9 +144,9 @@
   RetryBudgetOwner mBudgetOwner;
   LocalRetries mLocal;
   std::map<std::string, EarnedRetries> mEarned;   ///< by service
-  std::map<std::string, TimePoint> mAskNotBefore; ///< the keeper, by service
+  std::map<std::string, TimePoint> mAskNotBefore; ///< of the budget owner, by service
   std::map<std::uint64_t, Pending> mPending;      ///< by question
-  std::map<QuestionId, Decision> mDecisions;      ///< as the keeper, lately
+  std::map<QuestionId, Decision> mDecisions;      ///< recent decisions as the budget owner
   std::uint64_t mLastId = 0;
   RetryCounters mCounters;
 };
--- a/include/pepperbay/retries/retry_budget_owner.hpp
+++ b/include/pepperbay/retries/retry_budget_owner.hpp
@@ -1,5 +1,6 @@
 /// @file
-/// @brief The second attempts that one node gives out for all nodes. Pure.
+/// @brief The part of the retry budget that one node grants for all nodes. Pure: no I/O and no
+/// clock of its own.
 #pragma once
 
 #include "pepperbay/admission/retry_limits.hpp"
@@ -10,26 +11,26 @@
 
 namespace pepperbay {
 
-/// The right to give out, alone among all nodes.
+/// The exclusive right of one node to grant second attempts.
 struct RetryBudgetLease
 {
-  TimePoint mSince{}; ///< without a break
+  TimePoint mSince{}; ///< start of the uninterrupted lease
   TimePoint mUntil{};
 
-  /// Of a node that has no others.
+  /// The lease of a node without peers.
   static RetryBudgetLease Always()
   {
     return { TimePoint{} - std::chrono::hours(1), TimePoint::max() };
   }
 };
 
-/// Keeps a bucket for each service while it has the right to. A keeper that takes over has nothing
-/// saved up, since the one before may have spent all; so a window sees no more than one bucket's
-/// depth and rate, however often keepers change.
+/// Keeps a token bucket for each service while the node has the lease. A new budget owner starts
+/// with empty buckets, since its predecessor may have spent everything; so a window sees no more
+/// than the depth and rate of one bucket, however often the owner changes.
 ///
 /// @code
-/// keeper.SetRight(plan.mKeeperRight);
-/// granted = keeper.Take("search", now);
+/// owner.SetLease(plan.mLease);
+/// granted = owner.Take("search", now);
 /// @endcode
 class RetryBudgetOwner
 {
@@ -39,7 +40,7 @@
   void SetLimits(RetryLimits aLimits) { mLimits = aLimits; }
   void SetLease(RetryBudgetLease aLease);
   bool OwnsBudget(TimePoint aNow) const { return aNow < mLease.mUntil; }
-  /// @return whether one more second attempt may be made; it is then spent.
+  /// @return whether a second attempt is granted; it is then spent.
   bool Take(const std::string& aService, TimePoint aNow);
   bool MayTake(const std::string& aService, TimePoint aNow);
 
--- a/src/pepperbay/retries/retry_agent.cpp
+++ b/src/pepperbay/retries/retry_agent.cpp
@@ -8,7 +8,7 @@
 namespace pepperbay {
 namespace {
 
-/// A question that is sent again comes within this.
+/// Upper bound of the delay of a resent question. Decisions are remembered for this time.
 constexpr std::chrono::seconds kMaxResendDelay{ 1 };
 
 } // namespace
@@ -104,7 +104,7 @@
 void
 RetryAgent::SendQuestion(std::uint64_t aId)
 {
-  // A copy, since the answer may come within the call and end the question.
+  // A copy, since the answer may arrive within the call and erase the pending question.
   const std::string owner = mPending.at(aId).mBudgetOwner;
   proto::PlaceMessage message;
   message.set_node(mOptions.mNode);
@@ -156,7 +156,7 @@
 {
   const auto before = mDecisions.find(aQuestion);
   if (before != mDecisions.end()) {
-    return before->second.mGranted; // sent again
+    return before->second.mGranted; // resent question
   }
   const bool granted = mBudgetOwner.Take(aService, Now());
   mCounters.mGrantedToOthers += granted ? 1 : 0;
@@ -169,7 +169,7 @@
 {
   const auto it = mPending.find(aAnswer.id());
   if (it == mPending.end() || aAnswer.incarnation() != mOptions.mIncarnation) {
-    return; // it came twice, too late, or for a former start; what it gave is lost
+    return; // duplicate, late, or for a previous incarnation; the grant in it is lost
   }
   const Pending pending = std::move(it->second);
   mPending.erase(it);
--- a/src/pepperbay/retries/retry_agent_test.cpp
+++ b/src/pepperbay/retries/retry_agent_test.cpp
@@ -1,4 +1,4 @@
-/// The budget of second attempts that all nodes share.
+/// Tests of the retry budget that all nodes share.
 #include "retry_simulation.hpp"
 
 #include <gtest/gtest.h>
@@ -11,15 +11,15 @@
 
 constexpr int kFleets[] = { 8, 75, 295, 1300 };
 
-/// Requests of a service fail evenly; each asks for a second attempt.
+/// Requests of a service fail at a fixed rate; each failed one asks for a second attempt.
 struct Load
 {
   double mPerSecond = 0;
   double mFails = 0;        ///< share of requests
-  std::size_t mCallers = 1; ///< nodes that have requests, the first ones
+  std::size_t mCallers = 1; ///< the first nodes, which get all requests
 };
 
-/// Steps a world under load and keeps the account.
+/// Runs a simulation under load and keeps account of requests and second attempts.
 class Trial
 {
 public:
@@ -68,8 +68,8 @@
   }
 };
 
-/// Guards against a fleet of more nodes than the budget has second attempts, in which no node ever
-/// has one.
+/// Guards against a fleet with more nodes than the budget has second attempts, in which no node
+/// ever gets one.
 TEST(RetryAgent, AnyNodeOfALargeFleetHasASecondAttemptSoon)
 {
   for (const int nodes : kFleets) {
@@ -89,8 +89,8 @@
   }
 }
 
-/// Guards against a budget that is kept by not using it: one node has all callers, and their
-/// requests fail.
+/// Guards against a budget that goes unused when one node has all callers and all their requests
+/// fail.
 TEST(RetryAgent, OneNodesCallersMayUseMostOfTheBudget)
 {
   for (const int nodes : kFleets) {
@@ -105,7 +105,7 @@
   }
 }
 
-/// Guards against nodes that wait for a keeper that has ended: their requests would be late, and
+/// Guards against nodes that wait for a failed budget owner: their requests would be delayed, and
 /// fail in the end.
 TEST(RetryAgent, ASilentBudgetOwnerCostsOneTimeout)
 {
@@ -122,12 +122,12 @@
   EXPECT_EQ(answers, 2) << "at once, without the keeper";
 }
 
-/// Guards against a question that is sent again, as its answer was lost, being counted twice.
+/// Guards against a question being counted twice when its answer is lost and it is resent.
 TEST(RetryAgent, AResentQuestionIsCountedOnce)
 {
   RetrySimulationOptions options;
   options.mMaxDelay = milliseconds(40);
-  options.mLimits.mSlack = 40; // the keeper has 14 at once
+  options.mLimits.mSlack = 40; // the bucket of the budget owner holds 14
   RetrySimulation simulation(options);
   simulation.Run(seconds(20));
   int granted = 0;
@@ -140,7 +140,7 @@
   EXPECT_LE(simulation.Agent(simulation.BudgetOwner()).Counters().mGrantedToOthers, 12U);
 }
 
-/// Guards against keepers that end one after the other and each spend the whole slack.
+/// Guards against budget owners that fail one after the other and each spend the whole slack.
 TEST(RetryAgent, ANewBudgetOwnerStartsEmpty)
 {
   RetrySimulationOptions options;
@@ -158,7 +158,7 @@
   EXPECT_GT(trial.mGranted, options.mLimits.mSlack / 3);
 }
 
-/// Guards against nodes that each take the part of all where no keeper answers.
+/// Guards against each node using the share of all nodes where no budget owner answers.
 TEST(RetryAgent, NodesWithoutABudgetOwnerStayWithinTheirShare)
 {
   for (const int nodes : kFleets) {
@@ -168,13 +168,14 @@
     Trial trial(options);
     trial.mSimulation.Freeze(trial.mSimulation.BudgetOwner(), true);
     trial.Run({ 400, 1, trial.mSimulation.Size() }, seconds(2));
-    trial.Run({ 0, 0, 1 }, seconds(20)); // what is saved up comes on top
+    trial.Run({ 0, 0, 1 }, seconds(20)); // saved-up tokens come on top
     trial.Run({ 400, 1, trial.mSimulation.Size() }, seconds(12));
     EXPECT_LE(trial.mAccount.Excess(), 0) << nodes;
   }
 }
 
-/// Guards against nodes whose own times fall together by chance where the slack has no room for it.
+/// Guards against local send times that coincide by chance where the slack is too small to allow
+/// it.
 TEST(RetryAgent, NodesHaveNoLocalShareWhereTheSlackIsSmall)
 {
   LocalRetries own("n1", { 0.2, 3, seconds(10) }, {});
@@ -184,7 +185,7 @@
   }
 }
 
-/// New limits count for what comes next.
+/// Changed limits apply to the following requests.
 TEST(RetryAgent, NewLimitsTakeForceWhileItRuns)
 {
   ManualClock clock;
@@ -198,11 +199,11 @@
   EXPECT_FALSE(granted);
 }
 
-/// What happens to a fleet in a span of one history.
+/// One phase of a random scenario.
 struct Phase
 {
   Load mLoad;
-  int mRestarts = 0; ///< nodes that start anew, one after the other
+  int mRestarts = 0; ///< nodes that restart, one after the other
   bool mOwnerRestarts = false;
   bool mOwnerFreezes = false;
   Duration mFor{ 0 };
@@ -250,8 +251,9 @@
   simulation.Freeze(before, false);
 }
 
-/// Guards against more second attempts than a service allows of all nodes together: whoever has the
-/// callers, however often keepers end or stand still and nodes start, and whatever is lost or late.
+/// Guards against more second attempts than the service allows for all nodes together: with any
+/// distribution of callers, with budget owners that restart or freeze, nodes that restart, and
+/// messages that are lost or late.
 RC_GTEST_PROP(RetryAgentProperty, TheSumHoldsInEachWindow, ())
 {
   RetrySimulationOptions options;
--- a/src/pepperbay/retries/retry_budget_owner.cpp
+++ b/src/pepperbay/retries/retry_budget_owner.cpp
@@ -5,7 +5,7 @@
 namespace pepperbay {
 namespace {
 
-/// @return the bucket of all nodes together; nothing where the slack is too small for any.
+/// @return options of the bucket shared by all nodes; a rate of zero where the slack is too small.
 TokenBucket::Options
 OptionsOf(const RetryLimits& aLimits, const RetryParts& aParts)
 {
@@ -39,7 +39,7 @@
   if (!OwnsBudget(aNow) || options.mPerSecond <= 0) {
     return nullptr;
   }
-  // Filled from the beginning of the right on: until now nobody has spent anything of it.
+  // The bucket fills from the start of the lease: nothing has been spent from it yet.
   TokenBucket& bucket =
     mBuckets.emplace(aService, TokenBucket(options, mLease.mSince)).first->second;
   if (bucket.Current().mPerSecond != options.mPerSecond) {
--- a/src/pepperbay/retries/retry_simulation.hpp
+++ b/src/pepperbay/retries/retry_simulation.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// @brief Agents of many nodes, the messages between them and the right to keep the budget, in
-/// steps of virtual time; for tests and measurements.
+/// @brief Simulates the retry agents of many nodes, their messages and the lease of the budget
+/// owner, in steps of virtual time; for tests and benchmarks.
 #pragma once
 
 #include "pepperbay/admission/retry_account.hpp"
@@ -22,10 +22,10 @@
 {
   int mNodes = 8;
   RetryLimits mLimits{ 0.2, 134, seconds(10) };
-  double mLossRate = 0;         ///< share of messages
-  Duration mMaxDelay{ 0 };      ///< messages take up to so long
-  Duration mAnnounceDelay{ 0 }; ///< nodes know a new keeper so long after it has the right
-  double mUncounted = 0;        ///< nodes count so large a share of the others too few
+  double mLossRate = 0;         ///< fraction of messages that are lost
+  Duration mMaxDelay{ 0 };      ///< maximum delivery delay
+  Duration mAnnounceDelay{ 0 }; ///< time until the nodes learn of a new budget owner
+  double mUncounted = 0;        ///< fraction of the nodes that each node fails to count
   std::uint32_t mSeed = 1;
 };
 
@@ -33,7 +33,8 @@
 {
 public:
   static constexpr milliseconds kStep{ 20 };
-  /// How long a right lasts without being renewed, and the pause after it, as clocks may differ.
+  /// Length of a lease that is not renewed, and the pause after it that allows for clock
+  /// differences.
   static constexpr milliseconds kLeaseTime{ 1000 };
   static constexpr milliseconds kGuard{ 20 };
 
@@ -54,8 +55,8 @@
   std::uint64_t Sent() const { return mSent; }
   std::size_t BudgetOwner() const { return mBudgetOwner; }
 
-  /// The node's process starts anew and knows nothing; a right that it had is nobody's until it has
-  /// run out.
+  /// Restart the process of a node; it loses its state. A lease that it had stays unusable until it
+  /// expires.
   void Restart(std::size_t aNode)
   {
     Node& node = mNodes[aNode];
@@ -76,17 +77,17 @@
     UpdateFleet(aNode);
   }
 
-  /// The keeper does nothing for now; it goes on later with what it knew.
+  /// Freeze or resume a node; it resumes with the state that it had.
   void Freeze(std::size_t aNode, bool aStands) { mNodes[aNode].mFrozen = aStands; }
 
-  /// Another node is to have the right, once that of the last has run out.
+  /// Give the lease to another node, once the current lease has expired.
   void ChangeBudgetOwner(std::size_t aNode)
   {
     mLeaseGranted = false;
     mNext = aNode;
   }
 
-  /// @param aDone told whether the request may be sent again
+  /// @param aDone receives whether the request may be sent again
   void Ask(std::size_t aNode, RetryAgent::Done aDone)
   {
     if (!mNodes[aNode].mFrozen) {
