--- a/cmake/Layers.cmake
+++ b/cmake/Layers.cmake
@@ -38,9 +38,9 @@
 pepperbay_library(dispatch SOURCES asked_engines.cpp attempt.cpp claims.cpp failure_step.cpp
                   TESTS asked_engines_test.cpp attempt_test.cpp failure_step_test.cpp
                   USES routing admission proto) # pure
-pepperbay_library(places SOURCES place_agent.cpp place_desk.cpp place_limits.cpp place_book.cpp rate_ledger.cpp
-                          own_part.cpp
-                  TESTS place_agent_test.cpp limited_engines_test.cpp rate_ledger_test.cpp
+pepperbay_library(places SOURCES slot_agent.cpp slot_allocator.cpp slot_limits.cpp slot_table.cpp rate_ledger.cpp
+                          local_share.cpp
+                  TESTS slot_agent_test.cpp limited_engines_test.cpp rate_ledger_test.cpp
                   USES routing admission proto) # pure
 pepperbay_library(retries SOURCES local_retries.cpp retry_agent.cpp retry_budget_owner.cpp
                   TESTS retry_agent_test.cpp
--- a/examples/places/ask.cpp
+++ b/examples/places/ask.cpp
@@ -1,7 +1,7 @@
 /// @file
 /// @brief Two nodes, one of them the desk of both: a place is asked for, used and given back.
 
-#include "pepperbay/places/place_agent.hpp"
+#include "pepperbay/places/slot_agent.hpp"
 
 #include <iostream>
 #include <memory>
@@ -40,22 +40,22 @@
   ManualClock clock;
   Balancer deskView(BalancerOptions{ "levis" });
   Balancer nodeView(BalancerOptions{ "levis" });
-  std::unique_ptr<PlaceAgent> desk;
-  std::unique_ptr<PlaceAgent> node;
+  std::unique_ptr<SlotAgent> desk;
+  std::unique_ptr<SlotAgent> node;
   const auto send = [&](const std::string& aAddress, const std::string& aBytes) {
     (aAddress == "desk" ? *desk : *node).OnMessage(aBytes);
   };
-  desk = std::make_unique<PlaceAgent>(PlaceAgentOptions{ "desk", 1, "levis", "desk" },
-                                      PlaceAgentHooks{ clock.Hook(), send },
-                                      &deskView);
-  node = std::make_unique<PlaceAgent>(PlaceAgentOptions{ "node", 1, "levis", "node" },
-                                      PlaceAgentHooks{ clock.Hook(), send },
-                                      &nodeView);
+  desk = std::make_unique<SlotAgent>(SlotAgentOptions{ "desk", 1, "levis", "desk" },
+                                     SlotAgentHooks{ clock.Hook(), send },
+                                     &deskView);
+  node = std::make_unique<SlotAgent>(SlotAgentOptions{ "node", 1, "levis", "node" },
+                                     SlotAgentHooks{ clock.Hook(), send },
+                                     &nodeView);
   desk->SetPlan(MakePlan(true));
   node->SetPlan(MakePlan(false));
-  PlaceTicket ticket;
+  SlotTicket ticket;
   node->Ask({ "pool", "m", std::chrono::milliseconds(30), {}, {}, false },
-            [&](const Place& aPlace) {
+            [&](const SlotResult& aPlace) {
               ticket = aPlace.mTicket;
               std::cout << ToString(aPlace.mOutcome) << " at " << aPlace.mHead.mId << " by "
                         << ticket.mDesk << "\n";
--- a/include/pepperbay/places/own_part.hpp
+++ b/include/pepperbay/places/local_share.hpp
@@ -10,11 +10,11 @@
 
 namespace pepperbay {
 
-struct OwnPartOptions
+struct LocalShareOptions
 {
   std::string mNode;
   /// Of each limit, for the own parts of all nodes together.
-  double mPart = 0.1;
+  double mShare = 0.1;
   /// A part of less than one request is one request now and then, which may be sent for so long and
   /// is lost otherwise: kept, many nodes would send theirs in the same moment.
   Duration mOpenFor = std::chrono::milliseconds(500);
@@ -26,10 +26,10 @@
 /// @code
 /// if (part.MayUse(ShortId(engine), limit, nodes, now)) { part.Use(ShortId(engine), now); send(); }
 /// @endcode
-class OwnPart
+class LocalShare
 {
 public:
-  explicit OwnPart(OwnPartOptions aOptions);
+  explicit LocalShare(LocalShareOptions aOptions);
 
   /// @param aPerSecond what the engine takes from all nodes together
   /// @param aNodes that may be at work
@@ -39,7 +39,7 @@
   void Tick(TimePoint aNow);
 
 private:
-  OwnPartOptions mOptions;
+  LocalShareOptions mOptions;
   std::unordered_map<std::uint32_t, TimePoint> mUsed; ///< by engine
 };
 
--- a/include/pepperbay/places/rate_ledger.hpp
+++ b/include/pepperbay/places/rate_ledger.hpp
@@ -17,17 +17,17 @@
 struct RateLedgerOptions
 {
   /// Of each limit; the rest is the parts that nodes keep for when nobody counts, see own_part.hpp.
-  double mCountedPart = 0.9;
+  double mCountedShare = 0.9;
   /// An engine whose limit is lower still gets a request so often, or nobody would hear that the
   /// limit is over.
-  double mLeastPerSecond = 0.2;
+  double mMinPerSecond = 0.2;
   /// What was not used is kept for so long, and two requests at least: one for those who go first.
-  Duration mKeep = std::chrono::milliseconds(250);
+  Duration mBurst = std::chrono::milliseconds(250);
   /// Returns are promised this far ahead at most: callers come back within a third of what they
   /// have left.
-  Duration mMostAhead = std::chrono::seconds(2);
+  Duration mMaxAhead = std::chrono::seconds(2);
   /// What is not used for so long is forgotten.
-  Duration mForgetAfter = std::chrono::seconds(30);
+  Duration mExpireAfter = std::chrono::seconds(30);
 };
 
 /// An engine with a limit.
--- a/include/pepperbay/places/place_agent.hpp
+++ b/include/pepperbay/places/slot_agent.hpp
@@ -10,9 +10,9 @@
 
 #include "pepperbay/admission/earned_retries.hpp"
 #include "pepperbay/admission/retry_limits.hpp"
-#include "pepperbay/places/own_part.hpp"
-#include "pepperbay/places/place_book.hpp"
+#include "pepperbay/places/local_share.hpp"
 #include "pepperbay/places/rate_ledger.hpp"
+#include "pepperbay/places/slot_table.hpp"
 #include "pepperbay/routing/balancer.hpp"
 #include "pepperbay/routing/traffic_plan.hpp"
 
@@ -27,7 +27,7 @@
 
 namespace pepperbay {
 
-struct PlaceAgentOptions
+struct SlotAgentOptions
 {
   std::string mNode;
   std::uint64_t mIncarnation = 0;
@@ -40,16 +40,16 @@
   Duration mGiveUpAfter = std::chrono::milliseconds(30);
   /// A desk that did not answer is passed over for this long. Its silence shows in heartbeats at
   /// some 650 ms; until then each question to it would cost mGiveUpAfter.
-  Duration mPassOver = std::chrono::milliseconds(300);
+  Duration mSkipFor = std::chrono::milliseconds(300);
   /// What is held of a desk's places is told to it this often; a lost word of an end keeps a place
   /// from others for so long.
-  Duration mTellHeldEvery = std::chrono::milliseconds(500);
+  Duration mReportHeldEvery = std::chrono::milliseconds(500);
   /// Second attempts of all nodes together in a window, as a share of requests; what is allowed
   /// beyond it is kept elsewhere, see retries/retry_agent.hpp.
   double mRetryShare = RetryLimits().mShare;
 };
 
-struct PlaceRequest
+struct SlotRequest
 {
   std::string mService;
   std::string mModel;
@@ -57,13 +57,13 @@
   /// To the first event; zero: it is late in any case, or goes on after its first event.
   Duration mObjective{ 0 };
   std::set<std::string> mTried; ///< heads that the request has been sent to
-  bool mAgain = false;          ///< goes to a second engine
-  bool mDrawn = false;          ///< and that has been drawn elsewhere, so not here
+  bool mSecondAttempt = false;  ///< goes to a second engine
+  bool mBudgetDrawn = false;    ///< and that has been drawn elsewhere, so not here
   bool mOnce = false;           ///< of a plain service: it may run only once
   Claimant mClaimant{};         ///< who goes first to engines that take few requests a second
 };
 
-enum class PlaceOutcome
+enum class SlotOutcome
 {
   kGranted,
   kFull,      ///< each replica has all that it should hold
@@ -73,12 +73,12 @@
 };
 
 const char*
-ToString(PlaceOutcome aOutcome);
+ToString(SlotOutcome aOutcome);
 
 /// A place that was granted; give it back with `End()`.
-struct PlaceTicket
+struct SlotTicket
 {
-  std::string mDesk; ///< that counts it; empty: none does
+  std::string mAllocator; ///< that counts it; empty: none does
   std::uint64_t mId = 0;
 };
 
@@ -86,24 +86,24 @@
 struct RateGrant
 {
   std::optional<double> mPerSecond; ///< the request counts against it; none: no limit was known
-  std::string mDeskAddress;         ///< of the desk that has granted it; empty: this node chose
+  std::string mAllocatorAddress;    ///< of the desk that has granted it; empty: this node chose
   std::uint64_t mStampNs = 0;       ///< of that desk's clock
   TimePoint mAt{};                  ///< when this node got it
 };
 
-struct Place
+struct SlotResult
 {
-  PlaceOutcome mOutcome = PlaceOutcome::kNoReplica;
+  SlotOutcome mOutcome = SlotOutcome::kNoReplica;
   std::string mGroup; ///< empty for an engine of a plain service
   std::uint64_t mEpoch = 0;
   EngineTarget mHead;
-  PlaceTicket mTicket;
+  SlotTicket mTicket;
   RateGrant mRate;
   Duration mRetryAfter{ 0 }; ///< where all are limited: when to come back; zero: not known
 };
 
 /// What a node hears of an engine's limit.
-struct LimitNews
+struct LimitUpdate
 {
   std::uint32_t mEngine = 0; ///< by ShortId()
   LimitChange mChange = LimitChange::kNone;
@@ -112,23 +112,23 @@
   std::string mFrom;  ///< node that says so; empty: the engine, to this node
 };
 
-struct PlaceAgentHooks
+struct SlotAgentHooks
 {
   NowFn mNow;
   std::function<void(const std::string& aAddress, const std::string& aBytes)> mSend;
-  std::function<void(const LimitNews&)> mOnLimit = nullptr; ///< may be null
+  std::function<void(const LimitUpdate&)> mOnLimit = nullptr; ///< may be null
   /// Questions and answers about second attempts, which come the same way; may be null.
   std::function<void(const proto::PlaceMessage&)> mOnRetry = nullptr;
 };
 
-struct PlaceCounters
+struct SlotCounters
 {
-  std::uint64_t mAsked = 0;      ///< questions to other nodes' desks
-  std::uint64_t mResent = 0;     ///< of these, sent again
-  std::uint64_t mTimedOut = 0;   ///< desks that did not answer in time
-  std::uint64_t mAlone = 0;      ///< choices without a desk though the plan names one
-  std::uint64_t mGranted = 0;    ///< places granted to other nodes
-  std::uint64_t mPassedOn = 0;   ///< questions passed on to the desk of another data centre
+  std::uint64_t mAsked = 0;            ///< questions to other nodes' desks
+  std::uint64_t mResent = 0;           ///< of these, sent again
+  std::uint64_t mTimedOut = 0;         ///< desks that did not answer in time
+  std::uint64_t mWithoutAllocator = 0; ///< choices without a desk though the plan names one
+  std::uint64_t mGranted = 0;          ///< places granted to other nodes
+  std::uint64_t mForwarded = 0;        ///< questions passed on to the desk of another data centre
   std::uint64_t mLimited = 0;    ///< requests refused as all that had room take no more for now
   std::uint64_t mLocalShare = 0; ///< requests sent by this node's own part of a limit
   std::uint64_t mCounted = 0;    ///< requests counted against limits, of all nodes
@@ -143,20 +143,20 @@
 ///   agent.End(aPlace.mTicket); }
 /// });
 /// @endcode
-class PlaceAgent
+class SlotAgent
 {
 public:
-  using Done = std::function<void(const Place&)>;
+  using Done = std::function<void(const SlotResult&)>;
 
   /// @param aBalancer counts the places granted here; the owner counts the requests that it sends
-  PlaceAgent(PlaceAgentOptions aOptions, PlaceAgentHooks aHooks, Balancer* aBalancer);
+  SlotAgent(SlotAgentOptions aOptions, SlotAgentHooks aHooks, Balancer* aBalancer);
 
   void SetPlan(std::shared_ptr<const TrafficPlan> aPlan);
   void SetRetryShare(double aShare);
 
   /// @param aDone called exactly once, perhaps before this returns
-  void Ask(const PlaceRequest& aRequest, Done aDone);
-  void End(const PlaceTicket& aTicket);
+  void Ask(const SlotRequest& aRequest, Done aDone);
+  void End(const SlotTicket& aTicket);
   /// @return whether a second attempt may be granted; a desk elsewhere decides when it is asked.
   bool MayTryAgain(const std::string& aService);
 
@@ -176,18 +176,18 @@
   /// Do what is due; call every few tens of milliseconds.
   void Tick();
 
-  const PlaceCounters& Counters() const { return mCounters; }
+  const SlotCounters& Counters() const { return mCounters; }
 
 private:
   struct Pending
   {
-    PlaceRequest mRequest;
+    SlotRequest mRequest;
     Done mDone;
-    DeskAddress mDesk;
+    DeskAddress mAllocator;
     std::string mBytes;
     TimePoint mSent{};
     bool mResent = false;
-    int mDesksAsked = 0;
+    int mAllocatorsAsked = 0;
   };
   /// What this node holds of another's places.
   struct Held
@@ -195,8 +195,8 @@
     std::string mAddress;
     std::set<std::uint64_t> mIds;
     std::vector<std::uint64_t> mEnded; ///< to be told
-    TimePoint mToldAt{};
-    bool mToldEmpty = true;
+    TimePoint mReportedAt{};
+    bool mReportedEmpty = true;
   };
   /// Who asks a desk.
   struct Asker
@@ -209,23 +209,23 @@
   /// For whom a choice is made, which decides what of a limit may be used.
   enum class Chooser
   {
-    kDesk,    ///< for another node that asks
-    kLastHop, ///< the same, where another desk has passed the question on
-    kAlone,   ///< for this node itself
-    kOwnPart, ///< the same, by its own part of the limits only
+    kAllocator,  ///< for another node that asks
+    kForwarded,  ///< the same, where another desk has passed the question on
+    kLocal,      ///< for this node itself
+    kLocalShare, ///< the same, by its own part of the limits only
   };
 
   TimePoint Now() const { return mHooks.mNow(); }
   /// @return the best desk that has not failed to answer lately; null for none.
-  const DeskAddress* UsableDesk() const;
+  const DeskAddress* UsableAllocator() const;
   /// Ask the best desk, or choose alone where there is none.
-  void AskDesk(std::uint64_t aId, Pending aPending);
+  void AskAllocator(std::uint64_t aId, Pending aPending);
   void Resend(const Pending& aPending);
   /// @param aCounted a desk has counted the request
-  Place ChooseAlone(const PlaceRequest& aRequest, Chooser aChooser, bool aCounted);
+  SlotResult ChooseLocally(const SlotRequest& aRequest, Chooser aChooser, bool aCounted);
   struct Choice
   {
-    PlaceOutcome mOutcome = PlaceOutcome::kNoReplica;
+    SlotOutcome mOutcome = SlotOutcome::kNoReplica;
     const EngineTarget* mHead = nullptr;
     const PoolReplica* mReplica = nullptr; ///< null for an engine of a plain service
   };
@@ -252,10 +252,10 @@
   EarnedRetries::Options EarnedOptions() const;
   void OnAsk(const proto::PlaceMessage& aMessage);
   /// What an asker says of engines beside its question, and what others have said.
-  void TakeWord(const Asker& aAsker, const proto::PlaceAsk& aAsk, proto::PlaceAnswer* aAnswer);
+  void ApplyReports(const Asker& aAsker, const proto::PlaceAsk& aAsk, proto::PlaceAnswer* aAnswer);
   /// @return the desk of another data centre, where this node is a desk; null: nowhere.
-  const DeskAddress* DeskOf(const std::string& aDataCentre) const;
-  void PassOn(const proto::PlaceAsk& aAsk, const Asker& aAsker, const DeskAddress& aDesk);
+  const DeskAddress* AllocatorOf(const std::string& aDataCentre) const;
+  void Forward(const proto::PlaceAsk& aAsk, const Asker& aAsker, const DeskAddress& aDesk);
   void Grant(const Choice& aChoice,
              const Asker& aAsker,
              const proto::PlaceAsk& aAsk,
@@ -283,17 +283,17 @@
                          const std::string& aModel,
                          const Claimant& aClaimant);
   /// Tell whoever has granted a place what the engine says.
-  void TellLimit(const std::string& aAddress,
+  void SendLimit(const std::string& aAddress,
                  const EngineTarget& aEngine,
                  const RateGrant& aGrant,
                  const LimitStatement& aStatement);
   void OnLimitNote(const proto::PlaceMessage& aMessage);
   void OnCallsMade(const proto::PlaceMessage& aMessage);
   /// Note what a desk says of limits. @return whether its grant may be used
-  bool TakeGrantedLimit(const proto::PlaceMessage& aMessage, const EngineTarget& aHead);
+  bool ApplyGrantedLimit(const proto::PlaceMessage& aMessage, const EngineTarget& aHead);
   void FillLimit(const EngineTarget& aHead, proto::PlaceAnswer* aAnswer) const;
   void FillLimited(const std::string& aService, proto::PlaceAnswer* aAnswer) const;
-  void TakeLimited(const std::string& aService, const proto::PlaceAnswer& aAnswer);
+  void ApplyLimited(const std::string& aService, const proto::PlaceAnswer& aAnswer);
   void NoteChange(std::uint32_t aEngine,
                   LimitChange aChange,
                   const LimitStatement& aStatement,
@@ -302,26 +302,26 @@
   void RetainLimits();
   void OnAnswer(const proto::PlaceMessage& aMessage);
   /// A desk has granted a place that may be used.
-  void OnGranted(const proto::PlaceMessage& aMessage, const PlaceTicket& aTicket, Pending aPending);
+  void OnGranted(const proto::PlaceMessage& aMessage, const SlotTicket& aTicket, Pending aPending);
   void OnEnds(const proto::PlaceMessage& aMessage);
   void OnHeld(const proto::PlaceMessage& aMessage);
-  void TellEnds();
+  void SendEnded();
   /// @return whether this node's own plan speaks against a replica that a desk has named.
-  bool KnowsBetter(const proto::PlaceAnswer& aAnswer, const std::string& aService) const;
+  bool IsOutdated(const proto::PlaceAnswer& aAnswer, const std::string& aService) const;
   proto::PlaceMessage NewMessage() const;
 
-  PlaceAgentOptions mOptions;
-  PlaceAgentHooks mHooks;
+  SlotAgentOptions mOptions;
+  SlotAgentHooks mHooks;
   Balancer* mBalancer;
-  PlaceBook mBook;
-  PlaceCounters mCounters;
+  SlotTable mTable;
+  SlotCounters mCounters;
   std::shared_ptr<const TrafficPlan> mPlan;
-  std::map<std::string, EarnedRetries> mEarned; ///< by service
-  std::map<std::uint64_t, Pending> mPending;    ///< by question
-  std::map<std::string, Held> mHeld;            ///< by desk
-  std::map<std::string, TimePoint> mPassOver;   ///< desks that did not answer, until when
+  std::map<std::string, EarnedRetries> mEarned;   ///< by service
+  std::map<std::uint64_t, Pending> mPending;      ///< by question
+  std::map<std::string, Held> mHeld;              ///< by desk
+  std::map<std::string, TimePoint> mSkippedUntil; ///< desks that did not answer, until when
   RateLedger mLedger;
-  OwnPart mLocalShare;
+  LocalShare mLocalShare;
   TimePoint mRetainDue{};
   std::uint64_t mLastId = 0;
 };
--- a/include/pepperbay/places/place_book.hpp
+++ b/include/pepperbay/places/slot_table.hpp
@@ -20,14 +20,14 @@
 /// book.Grant("n1", incarnation, 17, "engine-4", now);
 /// book.End("n1", incarnation, 17);
 /// @endcode
-class PlaceBook
+class SlotTable
 {
 public:
   /// A node that has not been heard for so long has ended, and its connections with it.
-  static constexpr std::chrono::seconds kForgetNode{ 3 };
+  static constexpr std::chrono::seconds kNodeTimeout{ 3 };
 
   /// @param aOnFree called for each place that is free again
-  explicit PlaceBook(std::function<void(const std::string& aHead)> aOnFree);
+  explicit SlotTable(std::function<void(const std::string& aHead)> aOnFree);
 
   void Grant(const std::string& aNode,
              std::uint64_t aIncarnation,
@@ -52,7 +52,7 @@
   struct Node
   {
     std::uint64_t mIncarnation = 0;
-    TimePoint mHeard{};
+    TimePoint mLastReceived{};
     std::map<std::uint64_t, std::string> mHeads; ///< by question
   };
 
--- a/include/pepperbay/relay/relay.hpp
+++ b/include/pepperbay/relay/relay.hpp
@@ -10,7 +10,7 @@
 #include "pepperbay/base/clock.hpp"
 #include "pepperbay/base/error.hpp"
 #include "pepperbay/membership/stall_detector.hpp"
-#include "pepperbay/places/place_agent.hpp"
+#include "pepperbay/places/slot_agent.hpp"
 #include "pepperbay/quarantine/crash_tracker.hpp"
 #include "pepperbay/relay/dialect.hpp"
 #include "pepperbay/relay/latency.hpp"
@@ -163,7 +163,7 @@
   /// The control thread sends a question or an order to an engine.
   virtual void OnCall(const std::string& aEngine) = 0;
   virtual const RelayCounters& Counters() const = 0;
-  virtual const PlaceCounters& Places() const = 0;
+  virtual const SlotCounters& Places() const = 0;
   virtual const RetryCounters& Retries() const = 0;
   /// Answer what is in progress, then call `aDone` once.
   virtual void BeginStop(std::function<void()> aDone) = 0;
--- a/include/pepperbay/retries/local_retries.hpp
+++ b/include/pepperbay/retries/local_retries.hpp
@@ -5,7 +5,7 @@
 
 #include "pepperbay/admission/retry_limits.hpp"
 #include "pepperbay/admission/token_bucket.hpp"
-#include "pepperbay/places/own_part.hpp"
+#include "pepperbay/places/local_share.hpp"
 
 #include <map>
 #include <string>
@@ -40,7 +40,7 @@
   RetryLimits mLimits;
   RetryParts mParts;
   std::map<std::string, TokenBucket> mBuckets; ///< by service
-  OwnPart mSchedule;
+  LocalShare mSchedule;
 };
 
 } // namespace pepperbay
--- a/scripts/mutants/composition.sh
+++ b/scripts/mutants/composition.sh
@@ -30,5 +30,5 @@
 mutant "a node repeats its word for ever" $s/routing/failure_book.cpp \
   's/mReports.try_emplace\(aNode, aNow \+ mOptions.mMemory\);/mReports[aNode] = aNow + mOptions.mMemory;/' \
   routing_failure_book_test '*Forgotten*'
-mutant "desks tell nobody" $s/places/place_desk.cpp \
-  's/aAnswer->add_failing\(it\);/(void)it;/' places_place_agent_test '*TellAll*'
+mutant "desks tell nobody" $s/places/slot_allocator.cpp \
+  's/aAnswer->add_failing\(it\);/(void)it;/' places_slot_agent_test '*TellAll*'
--- a/scripts/mutants/retries.sh
+++ b/scripts/mutants/retries.sh
@@ -32,8 +32,8 @@
   's/  if \(!aReached\) \{/  if (false) {/' relay_relay_kept_test '*Suspected*'
 mutant "answers of a stopping server do not say close" $s/http/server.cpp \
   's/  if \(aClosing\) \{/  if (false) {/' http_http_test '*TellsItsCallers*'
-mutant "a request earns at each desk that is asked" $s/places/place_agent.cpp \
-  's/  ask->set_counted\(aPending.mDesksAsked > 0\);//' places_place_agent_test '*EarnsOnce*'
+mutant "a request earns at each desk that is asked" $s/places/slot_agent.cpp \
+  's/  ask->set_counted\(aPending.mAllocatorsAsked > 0\);//' places_slot_agent_test '*EarnsOnce*'
 mutant "a stream without a second attempt is cut at once" $s/dispatch/failure_step.cpp \
   's/waits \&\& WhyNotAgain/false \&\& WhyNotAgain/' relay_relay_retries_test 'RelayAwaited*'
 mutant "what was broken off is sent over a kept connection" $s/relay/exchange_sending.cpp \
--- a/scripts/mutants/shared_pool.sh
+++ b/scripts/mutants/shared_pool.sh
@@ -118,14 +118,14 @@
 mutant "news are not passed on" $s/coordinator/coordinator_peers.cpp \
   's/it != aMessage.node\(\) && mPeers/false \&\& mPeers/; s/return aBeat.news_fence\(\) > mFence/return false/' \
   coordinator_coordinator_tree_test '*ALossIsKnown*'
-mutant "a question that comes twice is granted twice" $s/places/place_desk.cpp \
-  's/if \(mBook.Find\(aAsker.mNode, aAsker.mIncarnation, aAsk.id\(\)\) == nullptr\)/if (true)/' \
-  places_place_agent_test '*Property*'
-mutant "an answer that comes twice frees the place" $s/places/place_agent.cpp \
+mutant "a question that comes twice is granted twice" $s/places/slot_allocator.cpp \
+  's/if \(mTable.Find\(aAsker.mNode, aAsker.mIncarnation, aAsk.id\(\)\) == nullptr\)/if (true)/' \
+  places_slot_agent_test '*Property*'
+mutant "an answer that comes twice frees the place" $s/places/slot_agent.cpp \
   's/if \(!held.mIds.insert\(ticket.mId\).second\)/held.mIds.insert(ticket.mId); if (false)/' \
-  places_place_agent_test '*Property*'
-mutant "second attempts of a desk without a budget" $s/places/place_agent.cpp \
-  's/return EarnedOf\(aService\).Take\(Now\(\)\);/return true;/' places_place_agent_test '*SecondAttemptsStay*'
+  places_slot_agent_test '*Property*'
+mutant "second attempts of a desk without a budget" $s/places/slot_agent.cpp \
+  's/return EarnedOf\(aService\).Take\(Now\(\)\);/return true;/' places_slot_agent_test '*SecondAttemptsStay*'
 mutant "a full model gives its replicas up" $groups/group_planner_survivors.cpp \
   's/after <= mOptions.mRoomToGive \|\|/true ||/' \
   placement_group_planner_survivors_test '*WithoutRoom*'
--- a/src/pepperbay/edge/edge_metrics.cpp
+++ b/src/pepperbay/edge/edge_metrics.cpp
@@ -152,9 +152,9 @@
     Counter("place_questions_resent_total", "Of these, sent again", aFigures.mPlaces.mResent),
     Counter(
       "place_questions_given_up_total", "Desks without an answer", aFigures.mPlaces.mTimedOut),
-    Counter("places_chosen_alone_total", "Without a desk", aFigures.mPlaces.mAlone),
+    Counter("places_chosen_alone_total", "Without a desk", aFigures.mPlaces.mWithoutAllocator),
     Counter("places_granted_total", "To other nodes", aFigures.mPlaces.mGranted),
-    Counter("places_passed_on_total", "To another data centre's desk", aFigures.mPlaces.mPassedOn),
+    Counter("places_passed_on_total", "To another data centre's desk", aFigures.mPlaces.mForwarded),
     Counter("limited_total",
             "Requests that all engines with room take no more of for now",
             aFigures.mPlaces.mLimited),
--- a/src/pepperbay/edge/edge_metrics.hpp
+++ b/src/pepperbay/edge/edge_metrics.hpp
@@ -13,7 +13,7 @@
 struct EdgeFigures
 {
   RelayCounters mRelay;
-  PlaceCounters mPlaces;
+  SlotCounters mPlaces;
   RetryCounters mRetries;
   CoordinatorCounters mCoordinator;
   Duration mConfigurationAge{ 0 }; ///< of what requests go by
--- a/src/pepperbay/places/limited_engines.hpp
+++ b/src/pepperbay/places/limited_engines.hpp
@@ -3,7 +3,7 @@
 /// tests.
 #pragma once
 
-#include "place_world.hpp"
+#include "slot_simulation.hpp"
 
 #include <algorithm>
 #include <random>
@@ -30,7 +30,7 @@
   struct Arrival
   {
     TimePoint mAt{};
-    bool mTold = false; ///< the node had passed on an answer with a limit half a second before
+    bool mInformed = false; ///< the node had passed on an answer with a limit half a second before
     bool mLocalShare = false; ///< sent by the node's own part of the limit, counted by no desk
   };
 
@@ -39,11 +39,11 @@
   {
     kAll,
     kCounted,
-    kOwnPart,
+    kLocalShare,
   };
 
-  LimitedEngines(PlaceWorld* aWorld, LimitedLoadOptions aOptions)
-    : mWorld(aWorld)
+  LimitedEngines(SlotSimulation* aSimulation, LimitedLoadOptions aOptions)
+    : mSimulation(aSimulation)
     , mOptions(aOptions)
     , mRandom(aOptions.mSeed)
   {
@@ -64,9 +64,9 @@
 
   /// @return the most requests that an engine got in a window of four seconds from nodes that had
   /// been told of its limit, from a time on.
-  int MostInFourSeconds(const std::string& aEngine,
-                        TimePoint aFrom,
-                        Which aWhich = Which::kAll) const
+  int MaxInFourSeconds(const std::string& aEngine,
+                       TimePoint aFrom,
+                       Which aWhich = Which::kAll) const
   {
     const auto it = mArrivals.find(aEngine);
     int most = 0;
@@ -81,11 +81,11 @@
       if (all[first].mAt < aFrom) {
         continue;
       }
-      const auto told =
-        std::count_if(all.begin() + static_cast<std::ptrdiff_t>(first),
-                      all.begin() + static_cast<std::ptrdiff_t>(i) + 1,
-                      [aWhich](const Arrival& aIt) { return aIt.mTold && IsOneOf(aWhich, aIt); });
-      most = std::max(most, static_cast<int>(told));
+      const auto informed = std::count_if(
+        all.begin() + static_cast<std::ptrdiff_t>(first),
+        all.begin() + static_cast<std::ptrdiff_t>(i) + 1,
+        [aWhich](const Arrival& aIt) { return aIt.mInformed && IsOneOf(aWhich, aIt); });
+      most = std::max(most, static_cast<int>(informed));
     }
     return most;
   }
@@ -102,7 +102,7 @@
                  }));
   }
 
-  TimePoint Now() const { return mWorld->mClock.Now(); }
+  TimePoint Now() const { return mSimulation->mClock.Now(); }
   int Refused() const { return mRefused; }
   /// @return of these, how many were not told when to come back.
   int RefusedWithoutTime() const { return mRefusedWithoutTime; }
@@ -110,31 +110,31 @@
 private:
   static bool IsOneOf(Which aWhich, const Arrival& aArrival)
   {
-    return aWhich == Which::kAll || aArrival.mLocalShare == (aWhich == Which::kOwnPart);
+    return aWhich == Which::kAll || aArrival.mLocalShare == (aWhich == Which::kLocalShare);
   }
 
   static constexpr milliseconds kStep{ 10 };
-  static constexpr milliseconds kToldAfter{ 500 };
+  static constexpr milliseconds kInformedFor{ 500 };
 
   struct Running
   {
     std::size_t mNode = 0;
-    Place mPlace;
+    SlotResult mResult;
     TimePoint mSent{};
     bool mHead = false;
   };
 
   void Step()
   {
-    mWorld->mClock.Advance(kStep);
-    for (auto& it : mWorld->mNodes) {
-      if (it.mAlive && !it.mStands) {
+    mSimulation->mClock.Advance(kStep);
+    for (auto& it : mSimulation->mNodes) {
+      if (it.mAlive && !it.mFrozen) {
         it.mAgent->Tick();
       }
     }
-    mWorld->Deliver();
+    mSimulation->Deliver();
     Arrive();
-    mWorld->Deliver();
+    mSimulation->Deliver();
     Answer();
   }
 
@@ -143,8 +143,8 @@
     const double perStep = mOptions.mPerSecond * std::chrono::duration<double>(kStep).count();
     std::poisson_distribution<int> arrivals(perStep);
     for (int n = arrivals(mRandom); n > 0; --n) {
-      const std::size_t node = mRandom() % mWorld->mNodes.size();
-      if (mWorld->mNodes[node].mAlive && !mWorld->mNodes[node].mStands) {
+      const std::size_t node = mRandom() % mSimulation->mNodes.size();
+      if (mSimulation->mNodes[node].mAlive && !mSimulation->mNodes[node].mFrozen) {
         Ask(node);
       }
     }
@@ -152,45 +152,45 @@
 
   void Ask(std::size_t aNode)
   {
-    PlaceWorld::Node& node = mWorld->mNodes[aNode];
+    SlotSimulation::Node& node = mSimulation->mNodes[aNode];
     if (mOptions.mPlain && !node.mAgent->HasLimits("plain")) {
       ChooseByItself(aNode);
       return;
     }
-    PlaceRequest request;
+    SlotRequest request;
     request.mService = mOptions.mPlain ? "plain" : "pool";
     request.mModel = mOptions.mPlain ? "" : "m";
-    node.mAgent->Ask(request, [this, aNode](const Place& aPlace) { Send(aNode, aPlace); });
+    node.mAgent->Ask(request, [this, aNode](const SlotResult& aResult) { Send(aNode, aResult); });
   }
 
   /// What the relay does for services none of whose engines has a limit.
   void ChooseByItself(std::size_t aNode)
   {
     TrafficPlan plan;
-    plan.mEngines["plain"] = mWorld->mPlainEngines;
-    const auto* engine = mWorld->mNodes[aNode].mBalancer->PickEngine(
+    plan.mEngines["plain"] = mSimulation->mPlainEngines;
+    const auto* engine = mSimulation->mNodes[aNode].mBalancer->PickEngine(
       plan, "plain", std::set<std::string>{}, false, Now());
-    Place place;
-    place.mOutcome = PlaceOutcome::kGranted;
-    place.mHead = *engine;
-    Send(aNode, place);
+    SlotResult result;
+    result.mOutcome = SlotOutcome::kGranted;
+    result.mHead = *engine;
+    Send(aNode, result);
   }
 
-  void Send(std::size_t aNode, const Place& aPlace)
+  void Send(std::size_t aNode, const SlotResult& aResult)
   {
-    if (aPlace.mOutcome != PlaceOutcome::kGranted) {
+    if (aResult.mOutcome != SlotOutcome::kGranted) {
       ++mRefused;
-      mRefusedWithoutTime += aPlace.mRetryAfter > Duration::zero() ? 0 : 1;
+      mRefusedWithoutTime += aResult.mRetryAfter > Duration::zero() ? 0 : 1;
       return;
     }
-    const auto& toldAt = mToldAt[aPlace.mHead.mId];
-    const auto told = toldAt.find(aNode);
-    const std::uint64_t byOwnParts = mWorld->mNodes[aNode].mAgent->Counters().mLocalShare;
-    const bool own = byOwnParts != std::exchange(mByOwnParts[aNode], byOwnParts);
-    mArrivals[aPlace.mHead.mId].push_back(
-      { Now(), told != toldAt.end() && Now() - told->second >= kToldAfter, own });
-    mWorld->mNodes[aNode].mBalancer->OnStart(aPlace.mHead.mId);
-    mRunning.push_back({ aNode, aPlace, Now() });
+    const auto& informedAt = mInformedAt[aResult.mHead.mId];
+    const auto informed = informedAt.find(aNode);
+    const std::uint64_t byLocalShares = mSimulation->mNodes[aNode].mAgent->Counters().mLocalShare;
+    const bool own = byLocalShares != std::exchange(mByLocalShares[aNode], byLocalShares);
+    mArrivals[aResult.mHead.mId].push_back(
+      { Now(), informed != informedAt.end() && Now() - informed->second >= kInformedFor, own });
+    mSimulation->mNodes[aNode].mBalancer->OnStart(aResult.mHead.mId);
+    mRunning.push_back({ aNode, aResult, Now() });
   }
 
   void Answer()
@@ -215,34 +215,34 @@
 
   void OnHead(const Running& aRunning)
   {
-    const std::string& head = aRunning.mPlace.mHead.mId;
+    const std::string& head = aRunning.mResult.mHead.mId;
     const auto limit = mLimits[head];
-    mWorld->mNodes[aRunning.mNode].mAgent->OnStatement(
-      aRunning.mPlace.mHead,
-      aRunning.mPlace.mRate,
-      { aRunning.mPlace.mHead.mBorn, limit, aRunning.mSent, Now() });
+    mSimulation->mNodes[aRunning.mNode].mAgent->OnStatement(
+      aRunning.mResult.mHead,
+      aRunning.mResult.mRate,
+      { aRunning.mResult.mHead.mBorn, limit, aRunning.mSent, Now() });
     if (limit) {
-      mToldAt[head].emplace(aRunning.mNode, Now());
+      mInformedAt[head].emplace(aRunning.mNode, Now());
     } else {
-      mToldAt[head].erase(aRunning.mNode);
+      mInformedAt[head].erase(aRunning.mNode);
     }
   }
 
   void End(const Running& aRunning)
   {
-    auto& node = mWorld->mNodes[aRunning.mNode];
-    node.mBalancer->OnEnd(aRunning.mPlace.mHead.mId);
-    node.mAgent->End(aRunning.mPlace.mTicket);
+    auto& node = mSimulation->mNodes[aRunning.mNode];
+    node.mBalancer->OnEnd(aRunning.mResult.mHead.mId);
+    node.mAgent->End(aRunning.mResult.mTicket);
   }
 
-  PlaceWorld* mWorld;
+  SlotSimulation* mSimulation;
   LimitedLoadOptions mOptions;
   std::mt19937 mRandom;
   std::map<std::string, std::optional<double>> mLimits;
   std::map<std::string, std::vector<Arrival>> mArrivals;
   /// When nodes passed on an answer with a limit for the first time, by engine and node.
-  std::map<std::string, std::map<std::size_t, TimePoint>> mToldAt;
-  std::map<std::size_t, std::uint64_t> mByOwnParts; ///< requests so far, by node
+  std::map<std::string, std::map<std::size_t, TimePoint>> mInformedAt;
+  std::map<std::size_t, std::uint64_t> mByLocalShares; ///< requests so far, by node
   std::vector<Running> mRunning;
   int mRefused = 0;
   int mRefusedWithoutTime = 0;
--- a/src/pepperbay/places/limited_engines_test.cpp
+++ b/src/pepperbay/places/limited_engines_test.cpp
@@ -8,7 +8,7 @@
 namespace pepperbay {
 namespace {
 
-using Desks = std::map<std::string, std::vector<std::string>>;
+using Allocators = std::map<std::string, std::vector<std::string>>;
 
 /// Nodes in the data centres a, b and c before four replicas in each, with the desks that they
 /// would have: one for all of a few nodes, two of each data centre of many.
@@ -16,18 +16,18 @@
 {
 public:
   explicit Fleet(int aNodes, int aSlots = 26)
-    : mWorld(aSlots)
+    : mSimulation(aSlots)
   {
     for (const char* it : { "a", "b", "c" }) {
-      mWorld.AddReplicas(4, it);
+      mSimulation.AddReplicas(4, it);
     }
     for (int i = 0; i < aNodes; ++i) {
       const std::string centre(1, static_cast<char>('a' + i % 3));
-      mWorld.AddNode(centre + std::to_string(i / 3), centre);
+      mSimulation.AddNode(centre + std::to_string(i / 3), centre);
     }
     for (const std::string it : { "a", "b", "c" }) {
       const std::string of = aNodes < 15 ? "a" : it;
-      mDesks[it] = { of + "0", of + "1" };
+      mAllocators[it] = { of + "0", of + "1" };
     }
     Renew();
   }
@@ -36,57 +36,57 @@
   /// next desk that works once it has run out.
   void Renew()
   {
-    const TimePoint now = mWorld.mClock.Now();
-    for (const auto& [centre, desks] : mDesks) {
-      PlaceWorld::Counting& counting = mWorld.mCounting[centre];
-      for (const auto& desk : desks) {
-        const PlaceWorld::Node& node = At(desk);
-        if (!node.mAlive || node.mStands) {
+    const TimePoint now = mSimulation.mClock.Now();
+    for (const auto& [centre, allocators] : mAllocators) {
+      SlotSimulation::Counting& counting = mSimulation.mCounting[centre];
+      for (const auto& allocator : allocators) {
+        const SlotSimulation::Node& node = At(allocator);
+        if (!node.mAlive || node.mFrozen) {
           continue;
         }
-        if (counting.mNode != desk && now < counting.mLease.mUntil) {
+        if (counting.mNode != allocator && now < counting.mLease.mUntil) {
           continue;
         }
         if (now >= counting.mLease.mUntil) {
-          counting = { desk, { now, now } };
+          counting = { allocator, { now, now } };
         }
         counting.mLease.mUntil = now + seconds(1);
         break;
       }
     }
-    mWorld.Publish(mDesks);
+    mSimulation.Publish(mAllocators);
   }
 
   void Run(LimitedEngines* aLoad, Duration aFor)
   {
-    for (const TimePoint end = mWorld.mClock.Now() + aFor; mWorld.mClock.Now() < end;) {
+    for (const TimePoint end = mSimulation.mClock.Now() + aFor; mSimulation.mClock.Now() < end;) {
       Renew();
       aLoad->Run(milliseconds(200));
     }
   }
 
-  PlaceWorld::Node& At(const std::string& aName)
+  SlotSimulation::Node& At(const std::string& aName)
   {
-    return *std::find_if(mWorld.mNodes.begin(), mWorld.mNodes.end(), [&](const auto& aNode) {
-      return aNode.mName == aName;
-    });
+    return *std::find_if(mSimulation.mNodes.begin(),
+                         mSimulation.mNodes.end(),
+                         [&](const auto& aNode) { return aNode.mName == aName; });
   }
 
-  PlaceWorld mWorld;
-  Desks mDesks;
+  SlotSimulation mSimulation;
+  Allocators mAllocators;
 };
 
 /// Most that an engine with a limit may get in any four seconds: what it names, and two requests
 /// that are kept for a moment.
 double
-MostAllowed(double aLimit)
+MaxAllowed(double aLimit)
 {
   return 4 * aLimit + 2;
 }
 
 /// The same of what desks count: nine tenths of the limit, and two requests that are kept.
 double
-MostCounted(double aLimit)
+MaxCounted(double aLimit)
 {
   return 4 * 0.9 * aLimit + 2;
 }
@@ -94,7 +94,7 @@
 /// The same of nodes that no desk answers: a tenth of the limit in four seconds and in the half
 /// second for which a part stays open. Their times fall together as chance arrivals do.
 double
-MostByOwnParts(double aLimit)
+MaxByLocalShares(double aLimit)
 {
   const double part = 4.5 * 0.1 * aLimit;
   return part + 2 + 3 * std::sqrt(part);
@@ -102,26 +102,26 @@
 
 /// Most that an engine has to expect from all nodes, whatever fails.
 double
-MostExpected(double aLimit)
+MaxExpected(double aLimit)
 {
   return 1.5 * 4 * aLimit + 5;
 }
 
 /// Guards against an engine that names a limit getting as many requests as before, from all nodes
 /// together.
-TEST(LimitedEngines, AnEngineGetsNoMoreThanItNames)
+TEST(LimitedEngines, AnEngineGetsNoMoreThanItsLimit)
 {
   for (const int nodes : { 8, 75, 295 }) {
     Fleet fleet(nodes);
     LimitedLoadOptions options;
     options.mPerSecond = 100;
-    LimitedEngines load(&fleet.mWorld, options);
+    LimitedEngines load(&fleet.mSimulation, options);
     fleet.Run(&load, seconds(3));
     load.SetLimit("e1", 3.4);
     fleet.Run(&load, seconds(3));
     const TimePoint from = load.Now();
     fleet.Run(&load, seconds(12));
-    EXPECT_LE(load.MostInFourSeconds("e1", from), MostAllowed(3.4)) << nodes << " nodes";
+    EXPECT_LE(load.MaxInFourSeconds("e1", from), MaxAllowed(3.4)) << nodes << " nodes";
     EXPECT_EQ(load.Refused(), 0) << "others have room";
   }
 }
@@ -134,7 +134,7 @@
       Fleet fleet(nodes, 4);
       LimitedLoadOptions options;
       options.mPerSecond = 150; // three times what all replicas can take
-      LimitedEngines load(&fleet.mWorld, options);
+      LimitedEngines load(&fleet.mSimulation, options);
       load.SetLimit("e1", limit);
       fleet.Run(&load, seconds(5));
       const TimePoint from = load.Now();
@@ -142,19 +142,19 @@
       const double all = 40 * std::min(limit, 6.0); // its slots alone let it have that many
       EXPECT_GE(load.Got("e1", from, load.Now()), 0.8 * std::min(all, 40 * limit))
         << nodes << " nodes, " << limit;
-      EXPECT_LE(load.MostInFourSeconds("e1", from), MostAllowed(limit)) << nodes << ", " << limit;
+      EXPECT_LE(load.MaxInFourSeconds("e1", from), MaxAllowed(limit)) << nodes << ", " << limit;
     }
   }
 }
 
 /// Guards against a model all of whose engines are limited: who cannot be served is told so at
 /// once, and when to come back.
-TEST(LimitedEngines, WhereAllAreLimitedCallersAreToldWhenToComeBack)
+TEST(LimitedEngines, WhereAllAreLimitedCallersAreToldWhenToRetry)
 {
   Fleet fleet(8);
   LimitedLoadOptions options;
   options.mPerSecond = 60;
-  LimitedEngines load(&fleet.mWorld, options);
+  LimitedEngines load(&fleet.mSimulation, options);
   for (int i = 0; i < 12; ++i) {
     load.SetLimit("e" + std::to_string(i), 1.5);
   }
@@ -165,7 +165,7 @@
   int got = 0;
   for (int i = 0; i < 12; ++i) {
     const std::string engine = "e" + std::to_string(i);
-    EXPECT_LE(load.MostInFourSeconds(engine, from), MostAllowed(1.5)) << engine;
+    EXPECT_LE(load.MaxInFourSeconds(engine, from), MaxAllowed(1.5)) << engine;
     got += load.Got(engine, from, load.Now());
   }
   EXPECT_GE(got, 0.8 * 20 * 12 * 1.5);
@@ -175,25 +175,25 @@
 
 /// Guards against engines of a plain service, which nodes choose by themselves, getting more than
 /// they name.
-TEST(LimitedEngines, APlainServicesEngineGetsNoMoreThanItNames)
+TEST(LimitedEngines, AnEngineOfAPlainServiceGetsNoMoreThanItsLimit)
 {
   for (const int nodes : { 8, 75 }) {
     Fleet fleet(nodes);
     for (const std::string it : { "a", "b", "c" }) {
-      fleet.mWorld.AddPlainEngine("p" + it, it);
+      fleet.mSimulation.AddPlainEngine("p" + it, it);
     }
     LimitedLoadOptions options;
     options.mPerSecond = 60;
     options.mPlain = true;
     options.mHeadAfter = milliseconds(30);
     options.mEndAfter = milliseconds(30);
-    LimitedEngines load(&fleet.mWorld, options);
+    LimitedEngines load(&fleet.mSimulation, options);
     fleet.Run(&load, seconds(2));
     load.SetLimit("pa", 3.4);
     fleet.Run(&load, seconds(3));
     const TimePoint from = load.Now();
     fleet.Run(&load, seconds(12));
-    EXPECT_LE(load.MostInFourSeconds("pa", from), MostAllowed(3.4)) << nodes << " nodes";
+    EXPECT_LE(load.MaxInFourSeconds("pa", from), MaxAllowed(3.4)) << nodes << " nodes";
     EXPECT_EQ(load.Refused(), 0) << "others take all";
     load.SetLimit("pb", 2.0);
     load.SetLimit("pc", 2.0);
@@ -201,7 +201,7 @@
     const TimePoint all = load.Now();
     fleet.Run(&load, seconds(12));
     EXPECT_GT(load.Refused(), 0);
-    EXPECT_LE(load.MostInFourSeconds("pc", all), MostAllowed(2.0)) << nodes << " nodes";
+    EXPECT_LE(load.MaxInFourSeconds("pc", all), MaxAllowed(2.0)) << nodes << " nodes";
     EXPECT_GE(load.Got("pc", all, load.Now()), 0.8 * 12 * 2.0) << nodes << " nodes";
   }
 }
@@ -214,19 +214,19 @@
     Fleet fleet(nodes);
     LimitedLoadOptions options;
     options.mPerSecond = 100;
-    LimitedEngines load(&fleet.mWorld, options);
+    LimitedEngines load(&fleet.mSimulation, options);
     load.SetLimit("e1", 3.4);
     fleet.Run(&load, seconds(6));
     load.SetLimit("e1", 1.0);
     fleet.Run(&load, seconds(4));
     TimePoint from = load.Now();
     fleet.Run(&load, seconds(6));
-    EXPECT_LE(load.MostInFourSeconds("e1", from), MostAllowed(1.0));
+    EXPECT_LE(load.MaxInFourSeconds("e1", from), MaxAllowed(1.0));
     load.SetLimit("e1", 0.0);
     fleet.Run(&load, seconds(4));
     from = load.Now();
     fleet.Run(&load, seconds(10));
-    EXPECT_LE(load.MostInFourSeconds("e1", from), MostAllowed(0.0));
+    EXPECT_LE(load.MaxInFourSeconds("e1", from), MaxAllowed(0.0));
     load.SetLimit("e1", std::nullopt);
     fleet.Run(&load, seconds(7));
     from = load.Now();
@@ -237,26 +237,26 @@
 
 /// Guards against a desk that stood still counting by a right that has run out, beside the one that
 /// has it since.
-TEST(LimitedEngines, ADeskThatStoodStillCountsNothingUntilItIsGivenTheRight)
+TEST(LimitedEngines, AnAllocatorThatWasFrozenCountsNothingUntilItIsGivenTheLease)
 {
   Fleet fleet(8);
   LimitedLoadOptions options;
   options.mPerSecond = 100;
-  LimitedEngines load(&fleet.mWorld, options);
+  LimitedEngines load(&fleet.mSimulation, options);
   load.SetLimit("e1", 3.4);
   fleet.Run(&load, seconds(5));
-  auto& desk = fleet.At(fleet.mDesks["a"][0]);
-  desk.mStands = true;
+  auto& allocator = fleet.At(fleet.mAllocators["a"][0]);
+  allocator.mFrozen = true;
   fleet.Run(&load, seconds(4));
   for (const char* it : { "b0", "b1", "c0", "c1" }) {
-    fleet.At(it).mDesks = { fleet.mDesks["a"][1] };
+    fleet.At(it).mAllocators = { fleet.mAllocators["a"][1] };
   }
-  desk.mStands = false;
-  desk.mKeepsPlan = true;
+  allocator.mFrozen = false;
+  allocator.mIgnoresPlans = true;
   const TimePoint from = load.Now();
   fleet.Run(&load, seconds(8));
-  EXPECT_LE(load.MostInFourSeconds("e1", from, LimitedEngines::Which::kCounted), MostCounted(3.4));
-  EXPECT_LE(load.MostInFourSeconds("e1", from), MostExpected(3.4));
+  EXPECT_LE(load.MaxInFourSeconds("e1", from, LimitedEngines::Which::kCounted), MaxCounted(3.4));
+  EXPECT_LE(load.MaxInFourSeconds("e1", from), MaxExpected(3.4));
 }
 
 /// Guards against the sum over nodes going beyond a limit whatever fails.
@@ -268,11 +268,11 @@
   std::mt19937 random(*rc::gen::arbitrary<std::uint32_t>());
   const auto chance = [&](int aPercent) { return static_cast<int>(random() % 100) < aPercent; };
   Fleet fleet(chance(80) ? 8 : chance(80) ? 75 : 295);
-  PlaceWorld& world = fleet.mWorld;
+  SlotSimulation& simulation = fleet.mSimulation;
   LimitedLoadOptions options;
   options.mPerSecond = 100;
   options.mSeed = random();
-  LimitedEngines load(&world, options);
+  LimitedEngines load(&simulation, options);
   const double limit = chance(50) ? 3.4 : chance(50) ? 0.5 : 12.0;
   load.SetLimit("e1", limit);
   load.SetLimit("e6", limit);
@@ -280,25 +280,25 @@
   const TimePoint from = load.Now();
   bool harmed = false;
   std::set<std::string> cut;
-  world.mLoses = [&](const std::string& aFrom, const std::string& aTo) {
+  simulation.mLoses = [&](const std::string& aFrom, const std::string& aTo) {
     return cut.count(aFrom) != 0 || cut.count(aTo) != 0 || (harmed && chance(15));
   };
-  world.mDelays = [&]() -> Duration {
+  simulation.mDelays = [&]() -> Duration {
     return harmed && chance(5) ? milliseconds(random() % 2500) : milliseconds(0);
   };
   for (int step = 0; step < 16; ++step) {
-    auto& node = chance(60) ? fleet.At(fleet.mDesks["a"][random() % 2])
-                            : world.mNodes[random() % world.mNodes.size()];
+    auto& node = chance(60) ? fleet.At(fleet.mAllocators["a"][random() % 2])
+                            : simulation.mNodes[random() % simulation.mNodes.size()];
     switch (random() % 7) {
       case 0:
         node.mAlive = !node.mAlive;
         break;
       case 1:
-        node.mKeepsPlan = node.mStands; // it wakes with what it knew before
-        node.mStands = !node.mStands;
+        node.mIgnoresPlans = node.mFrozen; // it wakes with what it knew before
+        node.mFrozen = !node.mFrozen;
         break;
       case 2:
-        node.mDesks = { fleet.mDesks[node.mDataCentre][1] };
+        node.mAllocators = { fleet.mAllocators[node.mDataCentre][1] };
         break;
       case 3:
         cut.insert(node.mName);
@@ -310,11 +310,11 @@
         harmed = !harmed;
         break;
       default:
-        for (auto& it : world.mNodes) {
+        for (auto& it : simulation.mNodes) {
           it.mAlive = true;
-          it.mStands = false;
-          it.mKeepsPlan = false;
-          it.mDesks.clear();
+          it.mFrozen = false;
+          it.mIgnoresPlans = false;
+          it.mAllocators.clear();
         }
         break;
     }
@@ -322,9 +322,9 @@
   }
   using Which = LimitedEngines::Which;
   for (const char* it : { "e1", "e6" }) {
-    RC_ASSERT(load.MostInFourSeconds(it, from, Which::kCounted) <= MostCounted(limit));
-    RC_ASSERT(load.MostInFourSeconds(it, from, Which::kOwnPart) <= MostByOwnParts(limit));
-    RC_ASSERT(load.MostInFourSeconds(it, from) <= MostExpected(limit));
+    RC_ASSERT(load.MaxInFourSeconds(it, from, Which::kCounted) <= MaxCounted(limit));
+    RC_ASSERT(load.MaxInFourSeconds(it, from, Which::kLocalShare) <= MaxByLocalShares(limit));
+    RC_ASSERT(load.MaxInFourSeconds(it, from) <= MaxExpected(limit));
   }
 }
 
--- a/src/pepperbay/places/own_part.cpp
+++ b/src/pepperbay/places/local_share.cpp
@@ -1,4 +1,4 @@
-#include "pepperbay/places/own_part.hpp"
+#include "pepperbay/places/local_share.hpp"
 
 #include "pepperbay/base/hash.hpp"
 
@@ -9,20 +9,20 @@
 namespace {
 
 /// A request less often than this is none.
-constexpr std::chrono::hours kLongest{ 1 };
+constexpr std::chrono::hours kMaxPeriod{ 1 };
 
 } // namespace
 
-OwnPart::OwnPart(OwnPartOptions aOptions)
+LocalShare::LocalShare(LocalShareOptions aOptions)
   : mOptions(std::move(aOptions))
 {
 }
 
 bool
-OwnPart::MayUse(std::uint32_t aEngine, double aPerSecond, int aNodes, TimePoint aNow) const
+LocalShare::MayUse(std::uint32_t aEngine, double aPerSecond, int aNodes, TimePoint aNow) const
 {
-  const double rate = aPerSecond * mOptions.mPart / std::max(1, aNodes);
-  if (rate * std::chrono::duration<double>(kLongest).count() < 1) {
+  const double rate = aPerSecond * mOptions.mShare / std::max(1, aNodes);
+  if (rate * std::chrono::duration<double>(kMaxPeriod).count() < 1) {
     return false;
   }
   const auto period = std::chrono::duration_cast<Duration>(std::chrono::duration<double>(1 / rate));
@@ -38,10 +38,10 @@
 }
 
 void
-OwnPart::Tick(TimePoint aNow)
+LocalShare::Tick(TimePoint aNow)
 {
   for (auto it = mUsed.begin(); it != mUsed.end();) {
-    it = aNow - it->second >= kLongest ? mUsed.erase(it) : std::next(it);
+    it = aNow - it->second >= kMaxPeriod ? mUsed.erase(it) : std::next(it);
   }
 }
 
--- a/src/pepperbay/places/rate_ledger.cpp
+++ b/src/pepperbay/places/rate_ledger.cpp
@@ -19,10 +19,10 @@
 TokenBucket::Options
 RateLedger::OptionsFor(double aPerSecond) const
 {
-  const double rate = std::max(aPerSecond * mOptions.mCountedPart, mOptions.mLeastPerSecond);
-  constexpr double kLeastDepth = 2;
+  const double rate = std::max(aPerSecond * mOptions.mCountedShare, mOptions.mMinPerSecond);
+  constexpr double kMinDepth = 2;
   return { rate,
-           std::max(kLeastDepth, rate * std::chrono::duration<double>(mOptions.mKeep).count()) };
+           std::max(kMinDepth, rate * std::chrono::duration<double>(mOptions.mBurst).count()) };
 }
 
 TokenBucket&
@@ -95,11 +95,11 @@
 {
   Queue& queue = mQueues[aWork];
   queue.mTurns.OnRefused(aClaimant, aNow);
-  const double rate = std::max(aPerSecond * mOptions.mCountedPart, mOptions.mLeastPerSecond);
+  const double rate = std::max(aPerSecond * mOptions.mCountedShare, mOptions.mMinPerSecond);
   const auto apart = std::chrono::duration_cast<Duration>(std::chrono::duration<double>(1 / rate));
   const TimePoint next = std::max(queue.mPromised, aNow) + apart;
   // Whoever is told of a later time has left by then, and its turn would be nobody's.
-  if (next - aNow <= mOptions.mMostAhead) {
+  if (next - aNow <= mOptions.mMaxAhead) {
     queue.mPromised = next;
   }
   return next - aNow;
@@ -109,7 +109,7 @@
 RateLedger::Tick(TimePoint aNow)
 {
   for (auto it = mAccounts.begin(); it != mAccounts.end();) {
-    const bool old = aNow - it->second.mUsed >= mOptions.mForgetAfter;
+    const bool old = aNow - it->second.mUsed >= mOptions.mExpireAfter;
     it = old ? mAccounts.erase(it) : std::next(it);
   }
   for (auto it = mQueues.begin(); it != mQueues.end();) {
--- a/src/pepperbay/places/rate_ledger_test.cpp
+++ b/src/pepperbay/places/rate_ledger_test.cpp
@@ -1,6 +1,6 @@
 #include "pepperbay/places/rate_ledger.hpp"
 
-#include "pepperbay/places/own_part.hpp"
+#include "pepperbay/places/local_share.hpp"
 
 #include <cmath>
 #include <deque>
@@ -25,12 +25,12 @@
   return n;
 }
 
-TEST(RateLedger, GivesOutItsPartOfALimit)
+TEST(RateLedger, GrantsItsShareOfALimit)
 {
   RateLedger ledger;
   ledger.SetLeases(kHeld);
   const LimitedEngine engine{ 1, "a", 10.0 };
-  EXPECT_FALSE(ledger.Take(engine, "w", {}, kStart)) << "what came before may have been given out";
+  EXPECT_FALSE(ledger.Take(engine, "w", {}, kStart)) << "earlier capacity may have been granted";
   const int n = TakeAllFor(&ledger, engine, kStart, seconds(10));
   EXPECT_GE(n, 88);
   EXPECT_LE(n, 90);
@@ -39,7 +39,7 @@
 }
 
 /// Guards against a node that counts beside another one.
-TEST(RateLedger, GivesOutNothingWithoutTheRight)
+TEST(RateLedger, GrantsNothingWithoutTheLease)
 {
   RateLedger ledger;
   ledger.SetLeases({ { "a", { kStart, kStart + seconds(1) } } });
@@ -96,7 +96,7 @@
   EXPECT_LE(n, 7);
 }
 
-TEST(RateLedger, BulkWaitsWhileTheMoreUrgentAreRefused)
+TEST(RateLedger, BulkWaitsWhileMoreUrgentRequestsAreRefused)
 {
   RateLedger ledger;
   ledger.SetLeases(kHeld);
@@ -105,14 +105,14 @@
   ledger.Refuse("w", 4.0, { 1, 0 }, kStart);
   const TimePoint one = kStart + milliseconds(300);
   EXPECT_FALSE(ledger.MayTake(engine, "w", { 5, 0 }, one));
-  EXPECT_TRUE(ledger.MayTake(engine, "other", { 5, 0 }, one)) << "nobody waits there";
+  EXPECT_TRUE(ledger.MayTake(engine, "other", { 5, 0 }, one)) << "no request waits there";
   EXPECT_TRUE(ledger.MayTake(engine, "w", { 1, 0 }, one));
   EXPECT_TRUE(ledger.MayTake(engine, "w", { 5, 0 }, kStart + milliseconds(600)))
     << "nothing is wasted";
 }
 
 /// Guards against callers who are told to come back at a time at which there is nothing for them.
-TEST(RateLedger, ThoseWhoAreRefusedComeBackAsFastAsTheyCanBeServed)
+TEST(RateLedger, RefusedCallersAreToldToRetryAtTheRateOfTheLimit)
 {
   RateLedger ledger;
   ledger.SetLeases(kHeld);
@@ -128,10 +128,11 @@
     served += ledger.Take(engine, "w", {}, it + milliseconds(1)) ? 1 : 0;
   }
   EXPECT_EQ(served, 8);
-  EXPECT_GT(ledger.Refuse("w", 0.0, {}, now), seconds(2)) << "said as it is";
+  EXPECT_GT(ledger.Refuse("w", 0.0, {}, now), seconds(2))
+    << "the actual time, beyond the limit of reservations";
 }
 
-TEST(RateLedger, ForgetsWhatIsNotUsed)
+TEST(RateLedger, DropsUnusedAccounts)
 {
   RateLedger ledger;
   ledger.SetLeases(kHeld);
@@ -142,13 +143,13 @@
 }
 
 /// Guards against nodes that cannot reach a desk going beyond what is set aside for them.
-TEST(OwnPart, PartsOfAllNodesTogetherStayWithinTheirs)
+TEST(LocalShare, SharesOfAllNodesTogetherStayWithinTheirs)
 {
   for (const int nodes : { 1, 8, 75, 295 }) {
     for (const double limit : { 0.5, 3.4, 40.0, 2000.0 }) {
-      std::vector<OwnPart> parts;
+      std::vector<LocalShare> parts;
       for (int i = 0; i < nodes; ++i) {
-        parts.emplace_back(OwnPartOptions{ "n" + std::to_string(i) });
+        parts.emplace_back(LocalShareOptions{ "n" + std::to_string(i) });
       }
       std::deque<TimePoint> sent;
       std::size_t most = 0;
@@ -176,9 +177,9 @@
   }
 }
 
-TEST(OwnPart, NothingIsLeftOfALimitOfZero)
+TEST(LocalShare, NothingIsLeftOfALimitOfZero)
 {
-  OwnPart part({ "n" });
+  LocalShare part({ "n" });
   for (TimePoint now = kStart; now < kStart + seconds(60); now += milliseconds(50)) {
     EXPECT_FALSE(part.MayUse(7, 0.0, 8, now));
   }
--- a/src/pepperbay/places/place_agent.cpp
+++ b/src/pepperbay/places/slot_agent.cpp
@@ -1,7 +1,7 @@
-#include "pepperbay/places/place_agent.hpp"
+#include "pepperbay/places/slot_agent.hpp"
 
 #include "pepperbay/base/hash.hpp"
-#include "place_wire.hpp"
+#include "slot_wire.hpp"
 
 #include <algorithm>
 #include <utility>
@@ -10,23 +10,23 @@
 namespace {
 
 /// A question goes to this many desks at most before a node chooses alone.
-constexpr int kMostDesks = 2;
+constexpr int kMaxAllocators = 2;
 
 /// @return nothing where the answer decides nothing.
-std::optional<PlaceOutcome>
+std::optional<SlotOutcome>
 OutcomeOf(proto::PlaceAnswer::Outcome aOutcome)
 {
   switch (aOutcome) {
     case proto::PlaceAnswer::GRANTED:
-      return PlaceOutcome::kGranted;
+      return SlotOutcome::kGranted;
     case proto::PlaceAnswer::FULL:
-      return PlaceOutcome::kFull;
+      return SlotOutcome::kFull;
     case proto::PlaceAnswer::NO_REPLICA:
-      return PlaceOutcome::kNoReplica;
+      return SlotOutcome::kNoReplica;
     case proto::PlaceAnswer::NO_BUDGET:
-      return PlaceOutcome::kNoBudget;
+      return SlotOutcome::kNoBudget;
     case proto::PlaceAnswer::LIMITED:
-      return PlaceOutcome::kLimited;
+      return SlotOutcome::kLimited;
     default:
       return std::nullopt;
   }
@@ -35,41 +35,41 @@
 } // namespace
 
 const char*
-ToString(PlaceOutcome aOutcome)
+ToString(SlotOutcome aOutcome)
 {
   switch (aOutcome) {
-    case PlaceOutcome::kGranted:
+    case SlotOutcome::kGranted:
       return "granted";
-    case PlaceOutcome::kFull:
+    case SlotOutcome::kFull:
       return "replicas_full";
-    case PlaceOutcome::kNoReplica:
+    case SlotOutcome::kNoReplica:
       return "no_replica";
-    case PlaceOutcome::kNoBudget:
+    case SlotOutcome::kNoBudget:
       return "no_retry_budget";
-    case PlaceOutcome::kLimited:
+    case SlotOutcome::kLimited:
       return "engines_limited";
   }
   return "unknown";
 }
 
-PlaceAgent::PlaceAgent(PlaceAgentOptions aOptions, PlaceAgentHooks aHooks, Balancer* aBalancer)
+SlotAgent::SlotAgent(SlotAgentOptions aOptions, SlotAgentHooks aHooks, Balancer* aBalancer)
   : mOptions(std::move(aOptions))
   , mHooks(std::move(aHooks))
   , mBalancer(aBalancer)
-  , mBook([this](const std::string& aHead) { mBalancer->OnEnd(aHead); })
+  , mTable([this](const std::string& aHead) { mBalancer->OnEnd(aHead); })
   , mLocalShare({ mOptions.mNode })
 {
 }
 
 void
-PlaceAgent::SetPlan(std::shared_ptr<const TrafficPlan> aPlan)
+SlotAgent::SetPlan(std::shared_ptr<const TrafficPlan> aPlan)
 {
   mPlan = std::move(aPlan);
   mLedger.SetLeases(mPlan->mRateLeases);
 }
 
 void
-PlaceAgent::SetRetryShare(double aShare)
+SlotAgent::SetRetryShare(double aShare)
 {
   mOptions.mRetryShare = aShare;
   for (auto& [service, earned] : mEarned) {
@@ -78,19 +78,19 @@
 }
 
 EarnedRetries::Options
-PlaceAgent::EarnedOptions() const
+SlotAgent::EarnedOptions() const
 {
   return { mOptions.mRetryShare * RetryParts().mEarned, RetryLimits().mWindow };
 }
 
 EarnedRetries&
-PlaceAgent::EarnedOf(const std::string& aService)
+SlotAgent::EarnedOf(const std::string& aService)
 {
   return mEarned.try_emplace(aService, EarnedOptions()).first->second;
 }
 
-PlaceAgent::Account
-PlaceAgent::AccountOf(bool aAgain, bool aDrawn, bool aCounted, bool aFound)
+SlotAgent::Account
+SlotAgent::AccountOf(bool aAgain, bool aDrawn, bool aCounted, bool aFound)
 {
   if (aAgain) {
     return aDrawn || !aFound ? Account::kNothing : Account::kRetry;
@@ -99,7 +99,7 @@
 }
 
 bool
-PlaceAgent::Count(const std::string& aService, Account aAccount)
+SlotAgent::Count(const std::string& aService, Account aAccount)
 {
   switch (aAccount) {
     case Account::kRequest:
@@ -114,13 +114,13 @@
 }
 
 bool
-PlaceAgent::MayTryAgain(const std::string& aService)
+SlotAgent::MayTryAgain(const std::string& aService)
 {
-  return UsableDesk() != nullptr || EarnedOf(aService).MayTake(Now());
+  return UsableAllocator() != nullptr || EarnedOf(aService).MayTake(Now());
 }
 
 proto::PlaceMessage
-PlaceAgent::NewMessage() const
+SlotAgent::NewMessage() const
 {
   proto::PlaceMessage message;
   message.set_node(mOptions.mNode);
@@ -129,15 +129,15 @@
 }
 
 const DeskAddress*
-PlaceAgent::UsableDesk() const
+SlotAgent::UsableAllocator() const
 {
   if (!mPlan || mPlan->mIsDesk || !mHooks.mSend) {
     return nullptr;
   }
   for (const auto& it : mPlan->mDesks) {
-    const auto passOver = mPassOver.find(it.mNode);
-    const bool passed = passOver != mPassOver.end() && Now() < passOver->second;
-    if (!passed && !it.mAddress.empty()) {
+    const auto skippedUntil = mSkippedUntil.find(it.mNode);
+    const bool skipped = skippedUntil != mSkippedUntil.end() && Now() < skippedUntil->second;
+    if (!skipped && !it.mAddress.empty()) {
       return &it;
     }
   }
@@ -145,23 +145,25 @@
 }
 
 void
-PlaceAgent::Ask(const PlaceRequest& aRequest, Done aDone)
+SlotAgent::Ask(const SlotRequest& aRequest, Done aDone)
 {
   Pending pending;
   pending.mRequest = aRequest;
   pending.mDone = std::move(aDone);
-  AskDesk(++mLastId, std::move(pending));
+  AskAllocator(++mLastId, std::move(pending));
 }
 
 void
-PlaceAgent::AskDesk(std::uint64_t aId, Pending aPending)
+SlotAgent::AskAllocator(std::uint64_t aId, Pending aPending)
 {
-  const DeskAddress* desk = aPending.mDesksAsked < kMostDesks ? UsableDesk() : nullptr;
-  if (desk == nullptr) {
-    aPending.mDone(ChooseAlone(aPending.mRequest, Chooser::kAlone, aPending.mDesksAsked > 0));
+  const DeskAddress* allocator =
+    aPending.mAllocatorsAsked < kMaxAllocators ? UsableAllocator() : nullptr;
+  if (allocator == nullptr) {
+    aPending.mDone(
+      ChooseLocally(aPending.mRequest, Chooser::kLocal, aPending.mAllocatorsAsked > 0));
     return;
   }
-  const PlaceRequest& request = aPending.mRequest;
+  const SlotRequest& request = aPending.mRequest;
   proto::PlaceMessage message = NewMessage();
   auto* ask = message.mutable_ask();
   ask->set_id(aId);
@@ -181,28 +183,28 @@
   for (const auto it : mBalancer->Failures().Own(Now())) {
     ask->add_failing(it);
   }
-  ask->set_again(request.mAgain);
-  ask->set_drawn(request.mDrawn);
-  ask->set_counted(aPending.mDesksAsked > 0);
+  ask->set_again(request.mSecondAttempt);
+  ask->set_drawn(request.mBudgetDrawn);
+  ask->set_counted(aPending.mAllocatorsAsked > 0);
   ask->set_once(request.mOnce);
   ask->set_urgency(static_cast<std::uint32_t>(std::max(0, request.mClaimant.mUrgency)));
   ask->set_customer(request.mClaimant.mCustomer);
   ask->set_data_centre(mOptions.mDataCentre);
   ask->set_reply_address(mOptions.mAddress);
-  aPending.mDesk = *desk;
+  aPending.mAllocator = *allocator;
   aPending.mBytes = message.SerializeAsString();
   aPending.mSent = Now();
   aPending.mResent = false;
-  ++aPending.mDesksAsked;
+  ++aPending.mAllocatorsAsked;
   ++mCounters.mAsked;
-  const std::string address = desk->mAddress;
+  const std::string address = allocator->mAddress;
   const std::string bytes = aPending.mBytes;
   mPending[aId] = std::move(aPending); // before the answer, which may come within the call
   mHooks.mSend(address, bytes);
 }
 
-PlaceAgent::Choice
-PlaceAgent::Choose(const Query& aQuery) const
+SlotAgent::Choice
+SlotAgent::Choose(const Query& aQuery) const
 {
   Choice choice;
   const ServiceSpec* service =
@@ -227,17 +229,17 @@
     choice.mHead = picked.mEngine;
     limited = picked.mLimited;
   }
-  choice.mOutcome = choice.mHead != nullptr ? PlaceOutcome::kGranted
-                    : full                  ? PlaceOutcome::kFull
-                    : limited               ? PlaceOutcome::kLimited
-                                            : PlaceOutcome::kNoReplica;
+  choice.mOutcome = choice.mHead != nullptr ? SlotOutcome::kGranted
+                    : full                  ? SlotOutcome::kFull
+                    : limited               ? SlotOutcome::kLimited
+                                            : SlotOutcome::kNoReplica;
   return choice;
 }
 
-Place
-PlaceAgent::ChooseAlone(const PlaceRequest& aRequest, Chooser aChooser, bool aCounted)
+SlotResult
+SlotAgent::ChooseLocally(const SlotRequest& aRequest, Chooser aChooser, bool aCounted)
 {
-  mCounters.mAlone += mPlan && !mPlan->mIsDesk && aChooser == Chooser::kAlone ? 1 : 0;
+  mCounters.mWithoutAllocator += mPlan && !mPlan->mIsDesk && aChooser == Chooser::kLocal ? 1 : 0;
   const std::string work = WorkOf(aRequest.mService, aRequest.mModel);
   Query query;
   query.mService = aRequest.mService;
@@ -247,39 +249,41 @@
   query.mReplica.mObjective = aRequest.mObjective;
   query.mReplica.mTried = ShortIds(aRequest.mTried);
   query.mReplica.mStanding = StandingFor(aChooser, work, aRequest.mClaimant);
-  Place place;
+  SlotResult result;
   const Choice choice = Choose(query);
-  place.mOutcome = choice.mOutcome;
-  if (place.mOutcome == PlaceOutcome::kLimited && aChooser == Chooser::kAlone) {
+  result.mOutcome = choice.mOutcome;
+  if (result.mOutcome == SlotOutcome::kLimited && aChooser == Chooser::kLocal) {
     ++mCounters.mLimited;
-    place.mRetryAfter = RefuseLimited(aRequest.mService, aRequest.mModel, aRequest.mClaimant);
-  }
-  if (!Count(aRequest.mService,
-             AccountOf(aRequest.mAgain, aRequest.mDrawn, aCounted, choice.mHead != nullptr))) {
-    place.mOutcome = PlaceOutcome::kNoBudget;
-  }
-  if (place.mOutcome == PlaceOutcome::kGranted) {
-    place.mGroup = choice.mReplica != nullptr ? choice.mReplica->mGroup : "";
-    place.mEpoch = choice.mReplica != nullptr ? choice.mReplica->mEpoch : 0;
-    place.mHead = *choice.mHead;
-    place.mRate.mPerSecond = CountRequest(place.mHead, aChooser, work, aRequest.mClaimant);
-    place.mRate.mAt = Now();
-    mBalancer->OnPrompt(place.mHead.mId, aRequest.mWork, Now());
-  }
-  return place;
+    result.mRetryAfter = RefuseLimited(aRequest.mService, aRequest.mModel, aRequest.mClaimant);
+  }
+  if (!Count(
+        aRequest.mService,
+        AccountOf(
+          aRequest.mSecondAttempt, aRequest.mBudgetDrawn, aCounted, choice.mHead != nullptr))) {
+    result.mOutcome = SlotOutcome::kNoBudget;
+  }
+  if (result.mOutcome == SlotOutcome::kGranted) {
+    result.mGroup = choice.mReplica != nullptr ? choice.mReplica->mGroup : "";
+    result.mEpoch = choice.mReplica != nullptr ? choice.mReplica->mEpoch : 0;
+    result.mHead = *choice.mHead;
+    result.mRate.mPerSecond = CountRequest(result.mHead, aChooser, work, aRequest.mClaimant);
+    result.mRate.mAt = Now();
+    mBalancer->OnPrompt(result.mHead.mId, aRequest.mWork, Now());
+  }
+  return result;
 }
 
 void
-PlaceAgent::End(const PlaceTicket& aTicket)
+SlotAgent::End(const SlotTicket& aTicket)
 {
-  const auto held = mHeld.find(aTicket.mDesk);
+  const auto held = mHeld.find(aTicket.mAllocator);
   if (held != mHeld.end() && held->second.mIds.erase(aTicket.mId) != 0) {
     held->second.mEnded.push_back(aTicket.mId);
   }
 }
 
 void
-PlaceAgent::OnMessage(const std::string& aBytes)
+SlotAgent::OnMessage(const std::string& aBytes)
 {
   proto::PlaceMessage message;
   if (!message.ParseFromString(aBytes)) {
@@ -318,7 +322,7 @@
 }
 
 bool
-PlaceAgent::KnowsBetter(const proto::PlaceAnswer& aAnswer, const std::string& aService) const
+SlotAgent::IsOutdated(const proto::PlaceAnswer& aAnswer, const std::string& aService) const
 {
   const auto replicas = mPlan->mReplicas.find(aService);
   if (replicas == mPlan->mReplicas.end()) {
@@ -333,7 +337,7 @@
 }
 
 void
-PlaceAgent::OnAnswer(const proto::PlaceMessage& aMessage)
+SlotAgent::OnAnswer(const proto::PlaceMessage& aMessage)
 {
   const proto::PlaceAnswer& answer = aMessage.answer();
   if (!IsUsable(answer.limit())) {
@@ -344,10 +348,10 @@
   for (const auto it : answer.failing()) {
     mBalancer->Failures().OnTold(it, Now());
   }
-  PlaceTicket ticket;
-  if (outcome == PlaceOutcome::kGranted) {
+  SlotTicket ticket;
+  if (outcome == SlotOutcome::kGranted) {
     ticket = { aMessage.node(), answer.id() };
-    Held& held = mHeld[ticket.mDesk];
+    Held& held = mHeld[ticket.mAllocator];
     held.mAddress = answer.desk_address();
     if (!held.mIds.insert(ticket.mId).second) {
       return; // the answer came twice, and the place is in use
@@ -360,77 +364,77 @@
   }
   Pending pending = std::move(it->second);
   mPending.erase(it);
-  TakeLimited(pending.mRequest.mService, answer);
-  const bool useless = !outcome || (*outcome == PlaceOutcome::kGranted &&
-                                    KnowsBetter(answer, pending.mRequest.mService));
+  ApplyLimited(pending.mRequest.mService, answer);
+  const bool useless = !outcome || (*outcome == SlotOutcome::kGranted &&
+                                    IsOutdated(answer, pending.mRequest.mService));
   if (useless) {
     End(ticket);
-    pending.mDone(ChooseAlone(pending.mRequest, Chooser::kAlone, true));
+    pending.mDone(ChooseLocally(pending.mRequest, Chooser::kLocal, true));
     return;
   }
-  if (*outcome == PlaceOutcome::kGranted) {
+  if (*outcome == SlotOutcome::kGranted) {
     OnGranted(aMessage, ticket, std::move(pending));
     return;
   }
-  Place place;
+  SlotResult result;
   // A desk that counts names a time; where none does, nodes have their own parts.
-  if (*outcome == PlaceOutcome::kLimited && answer.retry_after_us() == 0) {
-    place = ChooseAlone(pending.mRequest, Chooser::kOwnPart, true);
+  if (*outcome == SlotOutcome::kLimited && answer.retry_after_us() == 0) {
+    result = ChooseLocally(pending.mRequest, Chooser::kLocalShare, true);
   }
-  if (place.mOutcome != PlaceOutcome::kGranted) {
-    place.mOutcome = *outcome;
-    place.mRetryAfter = std::chrono::microseconds(answer.retry_after_us());
-    mCounters.mLimited += *outcome == PlaceOutcome::kLimited ? 1 : 0;
+  if (result.mOutcome != SlotOutcome::kGranted) {
+    result.mOutcome = *outcome;
+    result.mRetryAfter = std::chrono::microseconds(answer.retry_after_us());
+    mCounters.mLimited += *outcome == SlotOutcome::kLimited ? 1 : 0;
   }
-  pending.mDone(place);
+  pending.mDone(result);
 }
 
 void
-PlaceAgent::OnGranted(const proto::PlaceMessage& aMessage,
-                      const PlaceTicket& aTicket,
-                      Pending aPending)
+SlotAgent::OnGranted(const proto::PlaceMessage& aMessage,
+                     const SlotTicket& aTicket,
+                     Pending aPending)
 {
   const proto::PlaceAnswer& answer = aMessage.answer();
-  Place place;
-  place.mOutcome = PlaceOutcome::kGranted;
-  place.mGroup = answer.group();
-  place.mEpoch = answer.epoch();
-  place.mHead = {
+  SlotResult result;
+  result.mOutcome = SlotOutcome::kGranted;
+  result.mGroup = answer.group();
+  result.mEpoch = answer.epoch();
+  result.mHead = {
     answer.head(), answer.address(), answer.head_data_centre(), BornOf(answer.head_born_ms())
   };
-  if (!TakeGrantedLimit(aMessage, place.mHead)) {
+  if (!ApplyGrantedLimit(aMessage, result.mHead)) {
     End(aTicket);
-    aPending.mRequest.mTried.insert(place.mHead.mId);
-    AskDesk(++mLastId, std::move(aPending));
+    aPending.mRequest.mTried.insert(result.mHead.mId);
+    AskAllocator(++mLastId, std::move(aPending));
     return;
   }
-  place.mTicket = aTicket;
+  result.mTicket = aTicket;
   if (answer.limit().has_per_second()) {
-    place.mRate.mPerSecond = answer.limit().per_second();
+    result.mRate.mPerSecond = answer.limit().per_second();
   }
-  place.mRate.mDeskAddress = answer.desk_address();
-  place.mRate.mStampNs = answer.stamp_ns();
-  place.mRate.mAt = Now();
-  mBalancer->OnPrompt(place.mHead.mId, aPending.mRequest.mWork, Now());
-  aPending.mDone(place);
+  result.mRate.mAllocatorAddress = answer.desk_address();
+  result.mRate.mStampNs = answer.stamp_ns();
+  result.mRate.mAt = Now();
+  mBalancer->OnPrompt(result.mHead.mId, aPending.mRequest.mWork, Now());
+  aPending.mDone(result);
 }
 
 void
-PlaceAgent::TellEnds()
+SlotAgent::SendEnded()
 {
   const TimePoint now = Now();
   const std::uint64_t upTo = mPending.empty() ? mLastId : mPending.begin()->first - 1;
-  for (auto& [desk, held] : mHeld) {
+  for (auto& [allocator, held] : mHeld) {
     if (!held.mEnded.empty()) {
       proto::PlaceMessage message = NewMessage();
       for (const auto id : std::exchange(held.mEnded, {})) {
         message.mutable_ends()->add_ids(id);
       }
       mHooks.mSend(held.mAddress, message.SerializeAsString());
-      held.mToldEmpty = false;
+      held.mReportedEmpty = false;
     }
-    const bool quiet = held.mIds.empty() && held.mToldEmpty;
-    if (quiet || now - held.mToldAt < mOptions.mTellHeldEvery) {
+    const bool quiet = held.mIds.empty() && held.mReportedEmpty;
+    if (quiet || now - held.mReportedAt < mOptions.mReportHeldEvery) {
       continue;
     }
     proto::PlaceMessage message = NewMessage();
@@ -439,26 +443,26 @@
       message.mutable_held()->add_ids(id);
     }
     mHooks.mSend(held.mAddress, message.SerializeAsString());
-    held.mToldAt = now;
-    held.mToldEmpty = held.mIds.empty();
+    held.mReportedAt = now;
+    held.mReportedEmpty = held.mIds.empty();
   }
 }
 
 void
-PlaceAgent::Resend(const Pending& aPending)
+SlotAgent::Resend(const Pending& aPending)
 {
   proto::PlaceMessage message;
   message.ParseFromString(aPending.mBytes);
   message.mutable_ask()->set_counted(true); // by the first one, if it has arrived
-  mHooks.mSend(aPending.mDesk.mAddress, message.SerializeAsString());
+  mHooks.mSend(aPending.mAllocator.mAddress, message.SerializeAsString());
 }
 
 void
-PlaceAgent::Tick()
+SlotAgent::Tick()
 {
   const TimePoint now = Now();
-  TellEnds();
-  mBook.Tick(now);
+  SendEnded();
+  mTable.Tick(now);
   mLedger.Tick(now);
   mLocalShare.Tick(now);
   RetainLimits();
@@ -476,13 +480,13 @@
     Pending pending = std::move(mPending.at(id));
     mPending.erase(id);
     ++mCounters.mTimedOut;
-    mPassOver[pending.mDesk.mNode] = now + mOptions.mPassOver;
+    mSkippedUntil[pending.mAllocator.mNode] = now + mOptions.mSkipFor;
     // Its answer may have been lost, and the place be kept for nobody.
-    Held& held = mHeld[pending.mDesk.mNode];
-    held.mAddress = pending.mDesk.mAddress;
-    held.mToldEmpty = false;
+    Held& held = mHeld[pending.mAllocator.mNode];
+    held.mAddress = pending.mAllocator.mAddress;
+    held.mReportedEmpty = false;
     // Under a new number, or a late answer of this desk would be taken for the next one's.
-    AskDesk(++mLastId, std::move(pending));
+    AskAllocator(++mLastId, std::move(pending));
   }
 }
 
--- /dev/null
+++ b/src/pepperbay/places/slot_agent_test.cpp
@@ -0,0 +1,400 @@
+#include "pepperbay/admission/retry_account.hpp"
+#include "slot_simulation.hpp"
+
+#include <gtest/gtest.h>
+#include <random>
+#include <rapidcheck/gtest.h>
+
+namespace pepperbay {
+namespace {
+
+using std::chrono::milliseconds;
+using std::chrono::seconds;
+
+constexpr int kSlots = SlotSimulation::kSlots;
+
+/// Pattern: many nodes with a few requests each, all at once, before replicas whose places just
+/// suffice. Symptom of failure: engines reject a fifth of the arrivals while places stand free,
+/// since every node picks the replica that seemed emptiest to all.
+TEST(Slots, ManyNodesFillAllSlotsAndNoneTwice)
+{
+  SlotSimulation simulation;
+  simulation.AddReplicas(12, "a");
+  for (int i = 0; i < 48; ++i) {
+    simulation.AddNode("n" + std::to_string(i));
+  }
+  simulation.Publish({ { "a", { "n0" } } });
+  std::map<std::string, int> taken;
+  for (auto& it : simulation.mNodes) {
+    const SlotResult result = simulation.Ask(it);
+    ASSERT_EQ(result.mOutcome, SlotOutcome::kGranted);
+    ++taken[result.mHead.mId];
+    if (&it == &simulation.mNodes.front()) {
+      it.mBalancer->OnStart(result.mHead.mId); // the desk's own request, counted when it is sent
+    }
+  }
+  EXPECT_EQ(taken.size(), 12U);
+  for (const auto& [head, n] : taken) {
+    EXPECT_EQ(n, kSlots) << head;
+  }
+}
+
+/// Pattern: an engine of a plain service answers errors, and each node sends it a request now and
+/// then. Guards against each node's callers paying for what two nodes have seen already.
+TEST(Slots, ReportsOfTwoNodesAboutAnEngineTellAll)
+{
+  SlotSimulation simulation;
+  simulation.AddReplicas(2, "a");
+  for (const char* it : { "desk", "one", "two", "three" }) {
+    simulation.AddNode(it);
+  }
+  simulation.Publish({ { "a", { "desk" } } });
+  const std::uint32_t engine = ShortId("plain");
+  const auto fails = [&](std::size_t aNode) {
+    return simulation.mNodes[aNode].mBalancer->Failures().Fails(engine, simulation.mClock.Now());
+  };
+  simulation.mNodes[1].mBalancer->Failures().OnFailed("plain", simulation.mClock.Now());
+  simulation.Ask(simulation.mNodes[1]);
+  simulation.Ask(simulation.mNodes[3]);
+  EXPECT_FALSE(fails(3)) << "any engine fails a request now and then";
+  simulation.mNodes[2].mBalancer->Failures().OnFailed("plain", simulation.mClock.Now());
+  simulation.Ask(simulation.mNodes[2]);
+  simulation.Ask(simulation.mNodes[3]);
+  EXPECT_TRUE(fails(3));
+  EXPECT_TRUE(fails(0));
+}
+
+TEST(Slots, ASlotIsFreeAgainOnceItIsReturned)
+{
+  SlotSimulation simulation;
+  simulation.AddReplicas(1, "a");
+  auto& allocator = simulation.AddNode("desk");
+  auto& node = simulation.AddNode("n");
+  simulation.Publish({ { "a", { "desk" } } });
+  const SlotResult result = simulation.Ask(node);
+  ASSERT_EQ(result.mOutcome, SlotOutcome::kGranted);
+  EXPECT_EQ(result.mTicket.mAllocator, "desk");
+  EXPECT_EQ(result.mHead.mAddress, "10.0.0.1:80");
+  EXPECT_EQ(simulation.InProgress(allocator, "e0"), 1);
+  node.mAgent->End(result.mTicket);
+  node.mAgent->End(result.mTicket);
+  simulation.Run(milliseconds(40));
+  EXPECT_EQ(simulation.InProgress(allocator, "e0"), 0);
+}
+
+/// Symptom: requests wait for seconds after a node that finds places has died.
+/// Sequence: it dies; nodes ask it until their heartbeats show that it is gone.
+/// Cause: a question waited for its answer for ever, or each one for its own timeout.
+TEST(Slots, ASilentAllocatorCostsOneTimeout)
+{
+  SlotSimulation simulation;
+  simulation.AddReplicas(4, "a");
+  auto& first = simulation.AddNode("first");
+  simulation.AddNode("second");
+  auto& node = simulation.AddNode("n");
+  simulation.Publish({ { "a", { "first", "second" } } });
+  first.mAlive = false;
+  const TimePoint before = simulation.mClock.Now();
+  EXPECT_EQ(simulation.Ask(node).mTicket.mAllocator, "second");
+  EXPECT_LE(simulation.mClock.Now() - before, milliseconds(60));
+  const TimePoint later = simulation.mClock.Now();
+  for (int i = 0; i < 5; ++i) {
+    EXPECT_EQ(simulation.Ask(node).mTicket.mAllocator, "second");
+  }
+  EXPECT_EQ(simulation.mClock.Now(), later) << "the silent allocator is skipped for now";
+  EXPECT_EQ(node.mAgent->Counters().mTimedOut, 1U);
+}
+
+/// No desk answers: a node goes by what it knows itself, and nodes that cannot see each other do
+/// not all start with the same replica.
+TEST(Slots, NodesWithoutAnAllocatorSpreadOverTheReplicas)
+{
+  SlotSimulation simulation;
+  simulation.AddReplicas(8, "a");
+  auto& allocator = simulation.AddNode("desk");
+  for (int i = 0; i < 32; ++i) {
+    simulation.AddNode("n" + std::to_string(i));
+  }
+  simulation.Publish({ { "a", { "desk" } } });
+  allocator.mAlive = false;
+  std::map<std::string, int> taken;
+  for (auto& it : simulation.mNodes) {
+    if (&it == &allocator) {
+      continue;
+    }
+    const SlotResult result = simulation.Ask(it);
+    ASSERT_EQ(result.mOutcome, SlotOutcome::kGranted);
+    EXPECT_TRUE(result.mTicket.mAllocator.empty());
+    ++taken[result.mHead.mId];
+  }
+  EXPECT_GE(taken.size(), 7U);
+  for (const auto& [head, n] : taken) {
+    EXPECT_LE(n, 10) << head;
+  }
+}
+
+/// Pattern: a domain of one data centre is dark, its places are full, and another data centre has
+/// many. Its desk knows what is taken there; so it grants the place and counts it.
+TEST(Slots, AFullDataCentreUsesTheSlotsOfAnother)
+{
+  SlotSimulation simulation;
+  simulation.AddReplicas(1, "a");
+  simulation.AddReplicas(2, "b");
+  auto& here = simulation.AddNode("here", "a");
+  auto& node = simulation.AddNode("n", "a");
+  auto& there = simulation.AddNode("there", "b");
+  simulation.Publish({ { "a", { "here" } }, { "b", { "there" } } });
+  std::map<std::string, int> taken;
+  std::vector<SlotTicket> elsewhere;
+  for (int i = 0; i < 2 * kSlots; ++i) {
+    const SlotResult result = simulation.Ask(node);
+    ASSERT_EQ(result.mOutcome, SlotOutcome::kGranted);
+    ++taken[result.mTicket.mAllocator];
+    if (result.mTicket.mAllocator == "there") {
+      elsewhere.push_back(result.mTicket);
+    }
+  }
+  EXPECT_GE(taken["here"], kSlots - 1);
+  EXPECT_GE(taken["there"], kSlots - 1);
+  EXPECT_EQ(simulation.InProgress(there), taken["there"]);
+  EXPECT_EQ(simulation.InProgress(here), taken["here"]);
+  for (const auto& it : elsewhere) {
+    node.mAgent->End(it);
+  }
+  simulation.Run(milliseconds(40));
+  EXPECT_EQ(simulation.InProgress(there), 0);
+}
+
+/// Guards against second attempts that are refused while most of what the requests of all nodes
+/// have earned is unspent, since those that break off are at one node, and against more than that.
+TEST(Slots, WhatAllNodesRequestsHaveEarnedIsForAnyOfThem)
+{
+  SlotSimulation simulation;
+  simulation.AddReplicas(40, "a");
+  for (int i = 0; i < 20; ++i) {
+    simulation.AddNode("n" + std::to_string(i)).mAgent->SetRetryShare(0.2);
+  }
+  simulation.Publish({ { "a", { "n0" } } });
+  constexpr int kRequests = 250;
+  for (int i = 0; i < kRequests; ++i) {
+    auto& node = simulation.mNodes[static_cast<std::size_t>(i) % simulation.mNodes.size()];
+    node.mAgent->End(simulation.Ask(node).mTicket);
+    simulation.Run(milliseconds(20));
+  }
+  SlotRequest request;
+  request.mService = "pool";
+  request.mModel = "m";
+  request.mSecondAttempt = true;
+  int granted = 0;
+  for (int i = 0; i < 60; ++i) { // all of them at one node
+    granted +=
+      simulation.Ask(simulation.mNodes[5], request).mOutcome == SlotOutcome::kGranted ? 1 : 0;
+  }
+  EXPECT_GE(granted, 0.2 * kRequests / 2);
+  EXPECT_LE(granted, 0.2 * kRequests);
+  request.mBudgetDrawn = true;
+  EXPECT_EQ(simulation.Ask(simulation.mNodes[5], request).mOutcome, SlotOutcome::kGranted);
+}
+
+/// Guards against requests that earn twice, since the first desk's answer was lost and another desk
+/// was asked, or the question was sent again.
+TEST(Slots, ARequestThatSeveralAllocatorsAreAskedForEarnsOnce)
+{
+  SlotSimulation simulation;
+  simulation.AddReplicas(40, "a");
+  for (const char* it : { "d1", "d2", "n" }) {
+    simulation.AddNode(it);
+  }
+  simulation.Publish({ { "a", { "d1", "d2" } } });
+  simulation.mLoses = [](const std::string& aFrom, const std::string&) { return aFrom == "d1"; };
+  constexpr int kRequests = 20;
+  for (int i = 0; i < kRequests; ++i) {
+    simulation.Ask(simulation.mNodes[2]);
+    simulation.Run(milliseconds(400)); // d1 is asked first again
+  }
+  EXPECT_EQ(simulation.mNodes[2].mAgent->Counters().mTimedOut, 20U);
+  simulation.mLoses = nullptr;
+  SlotRequest request;
+  request.mService = "pool";
+  request.mModel = "m";
+  request.mSecondAttempt = true;
+  int granted = 0;
+  for (const char* allocator : { "d1", "d2" }) {
+    simulation.Publish({ { "a", { allocator } } });
+    while (simulation.Ask(simulation.mNodes[2], request).mOutcome == SlotOutcome::kGranted) {
+      ++granted;
+    }
+  }
+  EXPECT_GE(granted, 1);
+  EXPECT_LE(granted, kRequests * RetryLimits().mShare * RetryParts().mEarned);
+}
+
+/// Guards against more second attempts in a window than requests have earned, when desks end one
+/// after the other, nodes choose alone, and questions are lost or sent again.
+RC_GTEST_PROP(SlotsProperty, SecondAttemptsStayWithinWhatRequestsEarn, ())
+{
+  SlotSimulation simulation;
+  simulation.AddReplicas(40, "a");
+  for (const char* it : { "d1", "d2", "d3", "n1", "n2", "n3" }) {
+    simulation.AddNode(it);
+  }
+  std::mt19937 random(*rc::gen::arbitrary<std::uint32_t>());
+  const auto chance = [&](int aPercent) { return static_cast<int>(random() % 100) < aPercent; };
+  const int lost = *rc::gen::element(0, 10, 50);
+  simulation.mLoses = [&](const std::string&, const std::string&) { return chance(lost); };
+  simulation.mDelays = [&] { return milliseconds(chance(20) ? 25 : 0); };
+  RetryAccount account({ RetryLimits().mShare, 0, RetryLimits().mWindow });
+  std::vector<std::string> allocators = { "d1", "d2", "d3" };
+  const int phases = *rc::gen::inRange(2, 6);
+  for (int phase = 0; phase < phases; ++phase) {
+    std::rotate(allocators.begin(), allocators.begin() + 1, allocators.end());
+    for (auto& it : simulation.mNodes) {
+      it.mAlive = it.mName != allocators.back() || chance(50);
+    }
+    simulation.Publish({ { "a", allocators } });
+    const int perStep = *rc::gen::element(0, 1, 4);
+    const int fails = *rc::gen::element(0, 20, 100);
+    const auto ask = [&](SlotSimulation::Node& aNode, bool aAgain) {
+      SlotRequest request;
+      request.mService = "pool";
+      request.mModel = "m";
+      request.mSecondAttempt = aAgain;
+      aNode.mAgent->Ask(request, [&, aAgain, node = &aNode](const SlotResult& aResult) {
+        node->mAgent->End(aResult.mTicket);
+        if (aAgain && aResult.mOutcome == SlotOutcome::kGranted) {
+          account.OnRetry(simulation.mClock.Now());
+        }
+      });
+    };
+    for (int step = *rc::gen::inRange(10, 400); step > 0; --step) {
+      for (int i = 0; i < perStep; ++i) {
+        auto& node = simulation.mNodes[3 + random() % 3];
+        account.OnRequest(simulation.mClock.Now());
+        ask(node, false);
+        if (chance(fails)) {
+          ask(node, true);
+        }
+      }
+      simulation.Run(milliseconds(20));
+    }
+    simulation.Run(seconds(1));
+  }
+  RC_ASSERT(account.Excess() <= 0);
+}
+
+/// Symptom: a place is granted and given back at once, and its request is never sent.
+/// Sequence: the answer comes before the call that sends the question has returned.
+/// Cause: the question was noted after it was sent.
+TEST(Slots, AnAnswerMayComeWithinTheCall)
+{
+  SlotSimulation simulation;
+  simulation.AddReplicas(1, "a");
+  simulation.AddNode("desk");
+  auto& node = simulation.AddNode("n");
+  simulation.Publish({ { "a", { "desk" } } });
+  simulation.mDeliversAtOnce = true;
+  EXPECT_EQ(simulation.Ask(node).mTicket.mAllocator, "desk");
+}
+
+/// Symptom: a node sends to a replica that it knows to be lost.
+/// Sequence: the holder's word has reached the node and not yet its desk.
+TEST(Slots, ANodeDoesNotUseASlotAtAReplicaThatItKnowsToBeLost)
+{
+  SlotSimulation simulation;
+  simulation.AddReplicas(2, "a");
+  simulation.AddNode("desk");
+  auto& node = simulation.AddNode("n");
+  simulation.Publish({ { "a", { "desk" } } });
+  TrafficPlan newer;
+  newer.mRoutes = simulation.mRoutes;
+  newer.mReplicas["pool"] = simulation.mReplicas;
+  newer.mReplicas["pool"][0].mLost = true;
+  newer.mIsDesk = false;
+  newer.mDesks = { { "desk", "desk" } };
+  node.mAgent->SetPlan(std::make_shared<TrafficPlan>(newer));
+  for (int i = 0; i < 6; ++i) {
+    EXPECT_EQ(simulation.Ask(node).mHead.mId, "e1");
+  }
+}
+
+TEST(Slots, MalformedMessagesAreCountedAndDropped)
+{
+  SlotSimulation simulation;
+  auto& node = simulation.AddNode("n");
+  node.mAgent->OnMessage("\xff\xff garbage");
+  node.mAgent->OnMessage("");
+  EXPECT_EQ(node.mAgent->Counters().mBadMessages, 2U);
+}
+
+/// Symptom: a desk refuses requests though nothing is in progress; it counts places that nobody
+/// holds, or frees places that are held.
+/// Sequence: messages are lost, doubled and reordered; nodes ask, give back, die and start again.
+/// Property: each question is answered once, and once the network is well a desk counts exactly
+/// what nodes hold.
+RC_GTEST_PROP(SlotsProperty, AnAllocatorCountsWhatIsHeldOnceTheNetworkIsHealthy, ())
+{
+  SlotSimulation simulation;
+  simulation.AddReplicas(5, "a");
+  for (const char* it : { "d1", "d2", "n1", "n2", "n3" }) {
+    simulation.AddNode(it);
+  }
+  simulation.Publish({ { "a", { "d1", "d2" } } });
+  std::mt19937 random(*rc::gen::arbitrary<std::uint32_t>());
+  const auto chance = [&](int aPercent) { return static_cast<int>(random() % 100) < aPercent; };
+  bool harmed = true;
+  simulation.mLoses = [&](const std::string&, const std::string&) { return harmed && chance(25); };
+  std::map<std::string, std::vector<SlotTicket>> held; // by node
+  std::map<std::string, int> asked;
+  std::map<std::string, int> answered;
+  SlotRequest request;
+  request.mService = "pool";
+  request.mModel = "m";
+  for (int step = 0; step < 150; ++step) {
+    for (auto& it : simulation.mNodes) {
+      if (it.mName[0] != 'n') {
+        continue;
+      }
+      if (chance(40)) {
+        ++asked[it.mName];
+        it.mAgent->Ask(request, [&, name = it.mName](const SlotResult& aResult) {
+          ++answered[name];
+          if (aResult.mOutcome == SlotOutcome::kGranted && !aResult.mTicket.mAllocator.empty()) {
+            held[name].push_back(aResult.mTicket);
+          }
+        });
+      }
+      auto& tickets = held[it.mName];
+      if (!tickets.empty() && chance(45)) {
+        it.mAgent->End(tickets.back());
+        tickets.pop_back();
+      }
+    }
+    if (simulation.mInTransit.size() > 1 && chance(30)) {
+      std::swap(simulation.mInTransit.front(), simulation.mInTransit.back());
+    }
+    if (!simulation.mInTransit.empty() && chance(20)) {
+      simulation.mInTransit.push_back(simulation.mInTransit.front());
+    }
+    if (chance(70)) {
+      simulation.Run(milliseconds(20));
+    }
+  }
+  harmed = false;
+  simulation.Run(seconds(5));
+  RC_ASSERT(asked == answered);
+  std::map<std::string, int> expected;
+  for (const auto& [node, tickets] : held) {
+    for (const auto& it : tickets) {
+      ++expected[it.mAllocator];
+    }
+  }
+  for (const char* it : { "d1", "d2" }) {
+    auto& allocator = *std::find_if(simulation.mNodes.begin(),
+                                    simulation.mNodes.end(),
+                                    [&](const auto& aNode) { return aNode.mName == it; });
+    RC_ASSERT(simulation.InProgress(allocator) == expected[it]);
+  }
+}
+
+} // namespace
+} // namespace pepperbay
--- a/src/pepperbay/places/place_desk.cpp
+++ b/src/pepperbay/places/slot_allocator.cpp
@@ -2,8 +2,8 @@
 /// @brief The side of a place agent that finds places for other nodes.
 
 #include "pepperbay/base/hash.hpp"
-#include "pepperbay/places/place_agent.hpp"
-#include "place_wire.hpp"
+#include "pepperbay/places/slot_agent.hpp"
+#include "slot_wire.hpp"
 
 #include <algorithm>
 #include <utility>
@@ -12,18 +12,18 @@
 namespace {
 
 proto::PlaceAnswer::Outcome
-WireOf(PlaceOutcome aOutcome)
+WireOf(SlotOutcome aOutcome)
 {
   switch (aOutcome) {
-    case PlaceOutcome::kGranted:
+    case SlotOutcome::kGranted:
       return proto::PlaceAnswer::GRANTED;
-    case PlaceOutcome::kFull:
+    case SlotOutcome::kFull:
       return proto::PlaceAnswer::FULL;
-    case PlaceOutcome::kNoReplica:
+    case SlotOutcome::kNoReplica:
       return proto::PlaceAnswer::NO_REPLICA;
-    case PlaceOutcome::kNoBudget:
+    case SlotOutcome::kNoBudget:
       return proto::PlaceAnswer::NO_BUDGET;
-    case PlaceOutcome::kLimited:
+    case SlotOutcome::kLimited:
       return proto::PlaceAnswer::LIMITED;
   }
   return proto::PlaceAnswer::UNKNOWN;
@@ -31,20 +31,20 @@
 
 } // namespace
 
-PlaceAgent::Choice
-PlaceAgent::FindByHead(const std::string& aService, const std::string& aHead) const
+SlotAgent::Choice
+SlotAgent::FindByHead(const std::string& aService, const std::string& aHead) const
 {
   if (const auto replicas = mPlan->mReplicas.find(aService); replicas != mPlan->mReplicas.end()) {
     for (const auto& it : replicas->second) {
       if (it.mHead.mId == aHead) {
-        return { PlaceOutcome::kGranted, &it.mHead, &it };
+        return { SlotOutcome::kGranted, &it.mHead, &it };
       }
     }
   }
   if (const auto engines = mPlan->mEngines.find(aService); engines != mPlan->mEngines.end()) {
     for (const auto& it : engines->second) {
       if (it.mId == aHead) {
-        return { PlaceOutcome::kGranted, &it, nullptr };
+        return { SlotOutcome::kGranted, &it, nullptr };
       }
     }
   }
@@ -52,7 +52,7 @@
 }
 
 void
-PlaceAgent::OnAsk(const proto::PlaceMessage& aMessage)
+SlotAgent::OnAsk(const proto::PlaceMessage& aMessage)
 {
   const proto::PlaceAsk& ask = aMessage.ask();
   const bool passedOn = !ask.asker().empty();
@@ -64,7 +64,7 @@
   answer->set_id(ask.id());
   answer->set_desk_address(mOptions.mAddress);
   answer->set_stamp_ns(ToNs(Now().time_since_epoch()));
-  const std::string* before = mBook.Find(asker.mNode, asker.mIncarnation, ask.id());
+  const std::string* before = mTable.Find(asker.mNode, asker.mIncarnation, ask.id());
   const Choice granted = before != nullptr && mPlan ? FindByHead(ask.service(), *before) : Choice();
   if (granted.mHead != nullptr) {
     Grant(granted, asker, ask, answer); // the answer was lost, or is slow
@@ -76,8 +76,8 @@
     mHooks.mSend(asker.mAddress, message.SerializeAsString());
     return;
   }
-  TakeWord(asker, ask, answer);
-  const Chooser chooser = passedOn ? Chooser::kLastHop : Chooser::kDesk;
+  ApplyReports(asker, ask, answer);
+  const Chooser chooser = passedOn ? Chooser::kForwarded : Chooser::kAllocator;
   const Claimant claimant{ static_cast<int>(ask.urgency()), ask.customer() };
   const std::string work = WorkOf(ask.service(), ask.model());
   Query query;
@@ -93,27 +93,29 @@
   const Account account =
     AccountOf(ask.again(), ask.drawn(), ask.counted(), choice.mHead != nullptr);
   if (!passedOn && !Count(ask.service(), account)) {
-    choice = { PlaceOutcome::kNoBudget, nullptr, nullptr };
+    choice = { SlotOutcome::kNoBudget, nullptr, nullptr };
   }
   const bool here =
     passedOn || choice.mHead == nullptr || mLedger.Counts(choice.mHead->mDataCentre, Now());
-  const DeskAddress* desk = here ? nullptr : DeskOf(choice.mHead->mDataCentre);
-  if (desk != nullptr) {
-    PassOn(ask, asker, *desk);
+  const DeskAddress* allocator = here ? nullptr : AllocatorOf(choice.mHead->mDataCentre);
+  if (allocator != nullptr) {
+    Forward(ask, asker, *allocator);
     return;
   }
   answer->set_outcome(WireOf(choice.mOutcome));
   if (choice.mHead != nullptr) {
     CountRequest(*choice.mHead, chooser, work, claimant);
     Grant(choice, asker, ask, answer);
-  } else if (choice.mOutcome == PlaceOutcome::kLimited) {
+  } else if (choice.mOutcome == SlotOutcome::kLimited) {
     answer->set_retry_after_us(ToUs(RefuseLimited(ask.service(), ask.model(), claimant)));
   }
   mHooks.mSend(asker.mAddress, message.SerializeAsString());
 }
 
 void
-PlaceAgent::TakeWord(const Asker& aAsker, const proto::PlaceAsk& aAsk, proto::PlaceAnswer* aAnswer)
+SlotAgent::ApplyReports(const Asker& aAsker,
+                        const proto::PlaceAsk& aAsk,
+                        proto::PlaceAnswer* aAnswer)
 {
   for (const auto it : aAsk.refusing()) {
     mBalancer->Refusals().OnTold(it, Now());
@@ -128,15 +130,15 @@
 }
 
 void
-PlaceAgent::Grant(const Choice& aChoice,
-                  const Asker& aAsker,
-                  const proto::PlaceAsk& aAsk,
-                  proto::PlaceAnswer* aAnswer)
+SlotAgent::Grant(const Choice& aChoice,
+                 const Asker& aAsker,
+                 const proto::PlaceAsk& aAsk,
+                 proto::PlaceAnswer* aAnswer)
 {
   const EngineTarget& head = *aChoice.mHead;
-  if (mBook.Find(aAsker.mNode, aAsker.mIncarnation, aAsk.id()) == nullptr) {
+  if (mTable.Find(aAsker.mNode, aAsker.mIncarnation, aAsk.id()) == nullptr) {
     ++mCounters.mGranted;
-    mBook.Grant(aAsker.mNode, aAsker.mIncarnation, aAsk.id(), head.mId, Now());
+    mTable.Grant(aAsker.mNode, aAsker.mIncarnation, aAsk.id(), head.mId, Now());
     mBalancer->OnStart(head.mId);
     mBalancer->OnPrompt(head.mId, std::chrono::microseconds(aAsk.work_us()), Now());
   }
@@ -153,41 +155,42 @@
 }
 
 const DeskAddress*
-PlaceAgent::DeskOf(const std::string& aDataCentre) const
+SlotAgent::AllocatorOf(const std::string& aDataCentre) const
 {
   const auto it = mPlan->mDesksOf.find(aDataCentre);
-  const bool heard = mHooks.mSend && it != mPlan->mDesksOf.end() && !it->second.mAddress.empty();
-  return heard ? &it->second : nullptr;
+  const bool reachable =
+    mHooks.mSend && it != mPlan->mDesksOf.end() && !it->second.mAddress.empty();
+  return reachable ? &it->second : nullptr;
 }
 
 void
-PlaceAgent::PassOn(const proto::PlaceAsk& aAsk, const Asker& aAsker, const DeskAddress& aDesk)
+SlotAgent::Forward(const proto::PlaceAsk& aAsk, const Asker& aAsker, const DeskAddress& aAllocator)
 {
   proto::PlaceMessage message = NewMessage();
   *message.mutable_ask() = aAsk;
   message.mutable_ask()->set_asker(aAsker.mNode);
   message.mutable_ask()->set_asker_incarnation(aAsker.mIncarnation);
-  ++mCounters.mPassedOn;
-  mHooks.mSend(aDesk.mAddress, message.SerializeAsString());
+  ++mCounters.mForwarded;
+  mHooks.mSend(aAllocator.mAddress, message.SerializeAsString());
 }
 
 void
-PlaceAgent::OnEnds(const proto::PlaceMessage& aMessage)
+SlotAgent::OnEnds(const proto::PlaceMessage& aMessage)
 {
   for (const auto id : aMessage.ends().ids()) {
-    mBook.End(aMessage.node(), aMessage.incarnation(), id);
+    mTable.End(aMessage.node(), aMessage.incarnation(), id);
   }
 }
 
 void
-PlaceAgent::OnHeld(const proto::PlaceMessage& aMessage)
+SlotAgent::OnHeld(const proto::PlaceMessage& aMessage)
 {
   const auto& held = aMessage.held();
-  mBook.KeepOnly(aMessage.node(),
-                 aMessage.incarnation(),
-                 held.up_to(),
-                 { held.ids().begin(), held.ids().end() },
-                 Now());
+  mTable.KeepOnly(aMessage.node(),
+                  aMessage.incarnation(),
+                  held.up_to(),
+                  { held.ids().begin(), held.ids().end() },
+                  Now());
 }
 
 } // namespace pepperbay
--- a/src/pepperbay/places/place_limits.cpp
+++ b/src/pepperbay/places/slot_limits.cpp
@@ -6,9 +6,9 @@
 /// that desk has counted, or its own part.
 
 #include "pepperbay/base/hash.hpp"
-#include "pepperbay/places/place_agent.hpp"
+#include "pepperbay/places/slot_agent.hpp"
 #include "pepperbay/routing/find_engine.hpp"
-#include "place_wire.hpp"
+#include "slot_wire.hpp"
 
 #include <algorithm>
 #include <utility>
@@ -18,9 +18,9 @@
 
 /// What an engine has said to a desk of another data centre is taken from the desk that counts for
 /// it after this, which hears all of its answers.
-constexpr std::chrono::seconds kOwnWordFor{ 2 };
+constexpr std::chrono::seconds kOwnStatementLifetime{ 2 };
 /// Limits of a service that are told with one answer; each is some 20 bytes.
-constexpr std::size_t kMostTold = 32;
+constexpr std::size_t kMaxLimited = 32;
 constexpr std::chrono::seconds kRetainEvery{ 5 };
 
 LimitedEngine
@@ -32,37 +32,38 @@
 } // namespace
 
 bool
-PlaceAgent::KnowsLimits() const
+SlotAgent::KnowsLimits() const
 {
   return mPlan && (!mBalancer->Limits().IsEmpty() || !mPlan->mOthersLimits.empty());
 }
 
 std::optional<double>
-PlaceAgent::LimitOf(const EngineTarget& aEngine) const
+SlotAgent::LimitOf(const EngineTarget& aEngine) const
 {
   const std::uint32_t id = ShortId(aEngine.mId);
   if (const auto limit = mBalancer->Limits().AnyLimitOf(id, aEngine.mBorn, Now())) {
     return limit;
   }
-  const auto told = mPlan ? mPlan->mOthersLimits.find(id) : EngineLimits::const_iterator();
-  return mPlan && told != mPlan->mOthersLimits.end() ? std::optional<double>(told->second)
-                                                     : std::nullopt;
+  const auto reported = mPlan ? mPlan->mOthersLimits.find(id) : EngineLimits::const_iterator();
+  return mPlan && reported != mPlan->mOthersLimits.end() ? std::optional<double>(reported->second)
+                                                         : std::nullopt;
 }
 
 std::optional<double>
-PlaceAgent::LimitElsewhere(const EngineTarget& aEngine) const
+SlotAgent::LimitElsewhere(const EngineTarget& aEngine) const
 {
   const std::uint32_t id = ShortId(aEngine.mId);
-  const auto told = mPlan->mOthersLimits.find(id);
-  if (told != mPlan->mOthersLimits.end()) {
-    return told->second;
+  const auto reported = mPlan->mOthersLimits.find(id);
+  if (reported != mPlan->mOthersLimits.end()) {
+    return reported->second;
   }
   const LimitStatement* own = mBalancer->Limits().Find(id, aEngine.mBorn);
-  return own != nullptr && Now() - own->mAnswered < kOwnWordFor ? own->mPerSecond : std::nullopt;
+  return own != nullptr && Now() - own->mAnswered < kOwnStatementLifetime ? own->mPerSecond
+                                                                          : std::nullopt;
 }
 
 bool
-PlaceAgent::HasLimits(const std::string& aService) const
+SlotAgent::HasLimits(const std::string& aService) const
 {
   if (!KnowsLimits()) {
     return false;
@@ -75,7 +76,7 @@
 }
 
 RateStandingFn
-PlaceAgent::StandingFor(Chooser aChooser, const std::string& aWork, const Claimant& aClaimant)
+SlotAgent::StandingFor(Chooser aChooser, const std::string& aWork, const Claimant& aClaimant)
 {
   if (!KnowsLimits()) {
     return nullptr; // choices cost nothing more where no engine has a limit
@@ -86,34 +87,34 @@
 }
 
 RateStanding
-PlaceAgent::StandingOf(const EngineTarget& aEngine,
-                       Chooser aChooser,
-                       const std::string& aWork,
-                       const Claimant& aClaimant)
+SlotAgent::StandingOf(const EngineTarget& aEngine,
+                      Chooser aChooser,
+                      const std::string& aWork,
+                      const Claimant& aClaimant)
 {
   const bool counts = mLedger.Counts(aEngine.mDataCentre, Now());
-  if (aChooser == Chooser::kDesk && !counts && DeskOf(aEngine.mDataCentre) != nullptr) {
+  if (aChooser == Chooser::kAllocator && !counts && AllocatorOf(aEngine.mDataCentre) != nullptr) {
     return LimitElsewhere(aEngine) ? RateStanding::kElsewhere : RateStanding::kFree;
   }
   const auto limit = LimitOf(aEngine);
   if (!limit) {
-    return aChooser == Chooser::kOwnPart ? RateStanding::kExhausted : RateStanding::kFree;
+    return aChooser == Chooser::kLocalShare ? RateStanding::kExhausted : RateStanding::kFree;
   }
   bool may = false;
   if (counts) {
-    may = aChooser != Chooser::kOwnPart &&
+    may = aChooser != Chooser::kLocalShare &&
           mLedger.MayTake(Limited(aEngine, *limit), aWork, aClaimant, Now());
-  } else if (aChooser == Chooser::kAlone || aChooser == Chooser::kOwnPart) {
+  } else if (aChooser == Chooser::kLocal || aChooser == Chooser::kLocalShare) {
     may = mLocalShare.MayUse(ShortId(aEngine.mId), *limit, mPlan->mListedNodes, Now());
   }
   return may ? RateStanding::kMayTake : RateStanding::kExhausted;
 }
 
 std::optional<double>
-PlaceAgent::CountRequest(const EngineTarget& aEngine,
-                         Chooser aChooser,
-                         const std::string& aWork,
-                         const Claimant& aClaimant)
+SlotAgent::CountRequest(const EngineTarget& aEngine,
+                        Chooser aChooser,
+                        const std::string& aWork,
+                        const Claimant& aClaimant)
 {
   const auto limit = KnowsLimits() ? LimitOf(aEngine) : std::nullopt;
   if (!limit) {
@@ -123,7 +124,7 @@
     ++mCounters.mCounted;
     return limit;
   }
-  if (aChooser == Chooser::kAlone || aChooser == Chooser::kOwnPart) {
+  if (aChooser == Chooser::kLocal || aChooser == Chooser::kLocalShare) {
     mLocalShare.Use(ShortId(aEngine.mId), Now());
     ++mCounters.mLocalShare;
     return limit;
@@ -132,9 +133,9 @@
 }
 
 Duration
-PlaceAgent::RefuseLimited(const std::string& aService,
-                          const std::string& aModel,
-                          const Claimant& aClaimant)
+SlotAgent::RefuseLimited(const std::string& aService,
+                         const std::string& aModel,
+                         const Claimant& aClaimant)
 {
   double perSecond = 0;
   bool counts = false;
@@ -160,34 +161,35 @@
 }
 
 LimitChange
-PlaceAgent::OnStatement(const EngineTarget& aEngine,
-                        const RateGrant& aGrant,
-                        const LimitStatement& aStatement)
+SlotAgent::OnStatement(const EngineTarget& aEngine,
+                       const RateGrant& aGrant,
+                       const LimitStatement& aStatement)
 {
   const std::uint32_t id = ShortId(aEngine.mId);
   const LimitChange change = mBalancer->Limits().OnStatement(id, aStatement);
   NoteChange(id, change, aStatement, "");
-  if (!aGrant.mDeskAddress.empty()) {
+  if (!aGrant.mAllocatorAddress.empty()) {
     if (aGrant.mPerSecond != aStatement.mPerSecond) {
-      TellLimit(aGrant.mDeskAddress, aEngine, aGrant, aStatement);
+      SendLimit(aGrant.mAllocatorAddress, aEngine, aGrant, aStatement);
     }
     return change;
   }
   if (change == LimitChange::kNone || !mPlan) {
     return change;
   }
-  const DeskAddress* desk = mPlan->mIsDesk ? DeskOf(aEngine.mDataCentre) : UsableDesk();
-  if (desk != nullptr) {
-    TellLimit(desk->mAddress, aEngine, aGrant, aStatement);
+  const DeskAddress* allocator =
+    mPlan->mIsDesk ? AllocatorOf(aEngine.mDataCentre) : UsableAllocator();
+  if (allocator != nullptr) {
+    SendLimit(allocator->mAddress, aEngine, aGrant, aStatement);
   }
   return change;
 }
 
 void
-PlaceAgent::TellLimit(const std::string& aAddress,
-                      const EngineTarget& aEngine,
-                      const RateGrant& aGrant,
-                      const LimitStatement& aStatement)
+SlotAgent::SendLimit(const std::string& aAddress,
+                     const EngineTarget& aEngine,
+                     const RateGrant& aGrant,
+                     const LimitStatement& aStatement)
 {
   proto::PlaceMessage message = NewMessage();
   proto::LimitNote& note = *message.mutable_limit();
@@ -201,7 +203,7 @@
 }
 
 void
-PlaceAgent::OnLimitNote(const proto::PlaceMessage& aMessage)
+SlotAgent::OnLimitNote(const proto::PlaceMessage& aMessage)
 {
   const proto::LimitNote& note = aMessage.limit();
   if (!IsUsable(note.limit())) {
@@ -216,10 +218,11 @@
   }
   const LimitChange change = mBalancer->Limits().OnStatement(note.limit().engine(), statement);
   NoteChange(note.limit().engine(), change, statement, aMessage.node());
-  const DeskAddress* desk = note.passed_on() || !mPlan || mLedger.Counts(note.data_centre(), Now())
-                              ? nullptr
-                              : DeskOf(note.data_centre());
-  if (desk == nullptr) {
+  const DeskAddress* allocator =
+    note.passed_on() || !mPlan || mLedger.Counts(note.data_centre(), Now())
+      ? nullptr
+      : AllocatorOf(note.data_centre());
+  if (allocator == nullptr) {
     return;
   }
   proto::PlaceMessage message = NewMessage();
@@ -227,11 +230,11 @@
   *message.mutable_limit()->mutable_limit() = WireOf(note.limit().engine(), statement, Now());
   message.mutable_limit()->clear_stamp_ns();
   message.mutable_limit()->set_passed_on(true);
-  mHooks.mSend(desk->mAddress, message.SerializeAsString());
+  mHooks.mSend(allocator->mAddress, message.SerializeAsString());
 }
 
 void
-PlaceAgent::OnCall(const std::string& aEngine)
+SlotAgent::OnCall(const std::string& aEngine)
 {
   const EngineTarget* engine = KnowsLimits() ? FindEngine(*mPlan, ShortId(aEngine)) : nullptr;
   const auto limit = engine != nullptr ? LimitOf(*engine) : std::nullopt;
@@ -242,16 +245,17 @@
     mLedger.Spend(Limited(*engine, *limit), Now());
     return;
   }
-  const DeskAddress* desk = mPlan->mIsDesk ? DeskOf(engine->mDataCentre) : UsableDesk();
-  if (desk != nullptr) {
+  const DeskAddress* allocator =
+    mPlan->mIsDesk ? AllocatorOf(engine->mDataCentre) : UsableAllocator();
+  if (allocator != nullptr) {
     proto::PlaceMessage message = NewMessage();
     message.mutable_calls()->add_engines(ShortId(aEngine));
-    mHooks.mSend(desk->mAddress, message.SerializeAsString());
+    mHooks.mSend(allocator->mAddress, message.SerializeAsString());
   }
 }
 
 void
-PlaceAgent::OnCallsMade(const proto::PlaceMessage& aMessage)
+SlotAgent::OnCallsMade(const proto::PlaceMessage& aMessage)
 {
   for (const auto it : aMessage.calls().engines()) {
     const EngineTarget* engine = mPlan ? FindEngine(*mPlan, it) : nullptr;
@@ -263,7 +267,7 @@
 }
 
 bool
-PlaceAgent::TakeGrantedLimit(const proto::PlaceMessage& aMessage, const EngineTarget& aHead)
+SlotAgent::ApplyGrantedLimit(const proto::PlaceMessage& aMessage, const EngineTarget& aHead)
 {
   const proto::PlaceAnswer& answer = aMessage.answer();
   const std::uint32_t id = ShortId(aHead.mId);
@@ -277,12 +281,12 @@
     return true;
   }
   // The desk has counted nothing, as it does not know yet.
-  TellLimit(answer.desk_address(), aHead, {}, *own);
+  SendLimit(answer.desk_address(), aHead, {}, *own);
   return false;
 }
 
 void
-PlaceAgent::FillLimit(const EngineTarget& aHead, proto::PlaceAnswer* aAnswer) const
+SlotAgent::FillLimit(const EngineTarget& aHead, proto::PlaceAnswer* aAnswer) const
 {
   const std::uint32_t id = ShortId(aHead.mId);
   if (const LimitStatement* known = mBalancer->Limits().Find(id, aHead.mBorn)) {
@@ -291,15 +295,15 @@
 }
 
 void
-PlaceAgent::FillLimited(const std::string& aService, proto::PlaceAnswer* aAnswer) const
+SlotAgent::FillLimited(const std::string& aService, proto::PlaceAnswer* aAnswer) const
 {
   const auto add = [&](const EngineTarget& aEngine) {
     const auto limit = LimitOf(aEngine);
-    if (limit && static_cast<std::size_t>(aAnswer->limited_size()) < kMostTold) {
-      proto::EngineLimit& told = *aAnswer->add_limited();
-      told.set_engine(ShortId(aEngine.mId));
-      told.set_born_ms(BornMs(aEngine.mBorn));
-      told.set_per_second(*limit);
+    if (limit && static_cast<std::size_t>(aAnswer->limited_size()) < kMaxLimited) {
+      proto::EngineLimit& reported = *aAnswer->add_limited();
+      reported.set_engine(ShortId(aEngine.mId));
+      reported.set_born_ms(BornMs(aEngine.mBorn));
+      reported.set_per_second(*limit);
     }
   };
   if (!KnowsLimits()) {
@@ -317,22 +321,22 @@
 }
 
 void
-PlaceAgent::TakeLimited(const std::string& aService, const proto::PlaceAnswer& aAnswer)
+SlotAgent::ApplyLimited(const std::string& aService, const proto::PlaceAnswer& aAnswer)
 {
-  std::vector<ToldLimit> told;
+  std::vector<ToldLimit> reported;
   for (const auto& it : aAnswer.limited()) {
     if (IsUsable(it)) {
-      told.push_back({ it.engine(), BornOf(it.born_ms()), it.per_second() });
+      reported.push_back({ it.engine(), BornOf(it.born_ms()), it.per_second() });
     }
   }
-  mBalancer->Limits().SetTold(aService, std::move(told), Now());
+  mBalancer->Limits().SetTold(aService, std::move(reported), Now());
 }
 
 void
-PlaceAgent::NoteChange(std::uint32_t aEngine,
-                       LimitChange aChange,
-                       const LimitStatement& aStatement,
-                       const std::string& aFrom) const
+SlotAgent::NoteChange(std::uint32_t aEngine,
+                      LimitChange aChange,
+                      const LimitStatement& aStatement,
+                      const std::string& aFrom) const
 {
   if (aChange != LimitChange::kNone && mHooks.mOnLimit) {
     mHooks.mOnLimit({ aEngine, aChange, aStatement.mPerSecond, Now() - aStatement.mLeft, aFrom });
@@ -340,7 +344,7 @@
 }
 
 void
-PlaceAgent::RetainLimits()
+SlotAgent::RetainLimits()
 {
   if (Now() < mRetainDue || !mPlan || !mPlan->mComplete || mBalancer->Limits().IsEmpty()) {
     return;
--- a/src/pepperbay/places/place_world.hpp
+++ b/src/pepperbay/places/slot_simulation.hpp
@@ -3,7 +3,7 @@
 #pragma once
 
 #include "pepperbay/base/hash.hpp"
-#include "pepperbay/places/place_agent.hpp"
+#include "pepperbay/places/slot_agent.hpp"
 
 #include <deque>
 #include <gtest/gtest.h>
@@ -18,7 +18,7 @@
 using std::chrono::seconds;
 
 /// Agents of several nodes before replicas of one model, and the messages between them.
-class PlaceWorld
+class SlotSimulation
 {
 public:
   static constexpr int kSlots = 4; ///< of a replica, unless a test says otherwise
@@ -28,14 +28,15 @@
     std::string mName;
     std::string mDataCentre;
     std::unique_ptr<Balancer> mBalancer;
-    std::unique_ptr<PlaceAgent> mAgent;
+    std::unique_ptr<SlotAgent> mAgent;
     bool mAlive = true;
-    bool mStands = false;            ///< does nothing for now; what comes is heard later
-    bool mKeepsPlan = false;         ///< goes on by its plan, whatever is published
-    std::vector<std::string> mDesks; ///< that it sees, best first; empty: those of its data centre
+    bool mFrozen = false;       ///< does nothing for now; what comes is heard later
+    bool mIgnoresPlans = false; ///< goes on by its plan, whatever is published
+    std::vector<std::string>
+      mAllocators; ///< that it sees, best first; empty: those of its data centre
   };
 
-  explicit PlaceWorld(int aSlots = kSlots)
+  explicit SlotSimulation(int aSlots = kSlots)
   {
     Configuration configuration;
     configuration.mVersion = 1;
@@ -78,12 +79,12 @@
     balancer.mDataCentre = aDataCentre;
     balancer.mSeed = Hash64(aName);
     node.mBalancer = std::make_unique<Balancer>(balancer);
-    PlaceAgentOptions options;
+    SlotAgentOptions options;
     options.mNode = aName;
     options.mIncarnation = 7;
     options.mDataCentre = aDataCentre;
     options.mAddress = aName;
-    PlaceAgentHooks hooks;
+    SlotAgentHooks hooks;
     hooks.mNow = mClock.Hook();
     hooks.mSend = [this, aName](const std::string& aAddress, const std::string& aBytes) {
       ++mSent;
@@ -94,17 +95,17 @@
         mLate.push_back({ mClock.Now() + late, aAddress, aBytes });
         return;
       }
-      mOnTheWay.emplace_back(aAddress, aBytes);
-      if (mAtOnce) {
+      mInTransit.emplace_back(aAddress, aBytes);
+      if (mDeliversAtOnce) {
         Deliver();
       }
     };
-    node.mAgent = std::make_unique<PlaceAgent>(options, hooks, node.mBalancer.get());
+    node.mAgent = std::make_unique<SlotAgent>(options, hooks, node.mBalancer.get());
     return node;
   }
 
   /// Give every node the plan: the named desk finds places, of its data centre.
-  void Publish(const std::map<std::string, std::vector<std::string>>& aDesks)
+  void Publish(const std::map<std::string, std::vector<std::string>>& aAllocators)
   {
     for (auto& it : mNodes) {
       TrafficPlan plan;
@@ -113,14 +114,15 @@
       plan.mReplicas["pool"] = mReplicas;
       plan.mEngines["plain"] = mPlainEngines;
       plan.mNodes = static_cast<int>(mNodes.size());
-      const auto& desks = it.mDesks.empty() ? aDesks.at(it.mDataCentre) : it.mDesks;
-      plan.mIsDesk = desks.front() == it.mName;
-      for (const auto& desk : desks) {
-        if (desk != it.mName) {
-          plan.mDesks.push_back({ desk, desk });
+      const auto& allocators =
+        it.mAllocators.empty() ? aAllocators.at(it.mDataCentre) : it.mAllocators;
+      plan.mIsDesk = allocators.front() == it.mName;
+      for (const auto& allocator : allocators) {
+        if (allocator != it.mName) {
+          plan.mDesks.push_back({ allocator, allocator });
         }
       }
-      for (const auto& [centre, others] : aDesks) {
+      for (const auto& [centre, others] : aAllocators) {
         if (plan.mIsDesk && centre != it.mDataCentre) {
           plan.mDesksOf[centre] = { others.front(), others.front() };
         }
@@ -131,7 +133,7 @@
         }
       }
       plan.mListedNodes = plan.mNodes;
-      if (it.mAlive && !it.mStands && !it.mKeepsPlan) {
+      if (it.mAlive && !it.mFrozen && !it.mIgnoresPlans) {
         it.mAgent->SetPlan(std::make_shared<TrafficPlan>(std::move(plan)));
       }
     }
@@ -146,17 +148,17 @@
       if (mClock.Now() < late.mAt) {
         mLate.push_back(std::move(late));
       } else {
-        mOnTheWay.emplace_back(late.mAddress, late.mBytes);
+        mInTransit.emplace_back(late.mAddress, late.mBytes);
       }
     }
-    while (!mOnTheWay.empty()) {
-      const auto [address, bytes] = std::move(mOnTheWay.front());
-      mOnTheWay.pop_front();
+    while (!mInTransit.empty()) {
+      const auto [address, bytes] = std::move(mInTransit.front());
+      mInTransit.pop_front();
       for (auto& it : mNodes) {
         if (it.mName != address || !it.mAlive) {
           continue;
         }
-        if (it.mStands) {
+        if (it.mFrozen) {
           mLate.push_back({ mClock.Now() + milliseconds(20), address, bytes });
         } else {
           it.mAgent->OnMessage(bytes);
@@ -179,42 +181,42 @@
   }
 
   /// Ask for a place and wait for the answer.
-  Place Ask(Node& aNode, const PlaceRequest& aRequest)
+  SlotResult Ask(Node& aNode, const SlotRequest& aRequest)
   {
-    Place place;
+    SlotResult result;
     bool done = false;
-    aNode.mAgent->Ask(aRequest, [&](const Place& aPlace) {
+    aNode.mAgent->Ask(aRequest, [&](const SlotResult& aResult) {
       EXPECT_FALSE(done) << "answered twice";
       done = true;
-      place = aPlace;
+      result = aResult;
     });
     Deliver();
     for (int i = 0; i < 10 && !done; ++i) {
       Run(milliseconds(20));
     }
     EXPECT_TRUE(done);
-    return place;
+    return result;
   }
 
-  Place Ask(Node& aNode)
+  SlotResult Ask(Node& aNode)
   {
-    PlaceRequest request;
+    SlotRequest request;
     request.mService = "pool";
     request.mModel = "m";
     return Ask(aNode, request);
   }
 
-  int InProgress(Node& aDesk, const std::string& aHead) const
+  int InProgress(Node& aAllocator, const std::string& aHead) const
   {
-    const auto& own = aDesk.mBalancer->Own();
+    const auto& own = aAllocator.mBalancer->Own();
     const auto it = own.find(aHead);
     return it == own.end() ? 0 : it->second;
   }
 
-  int InProgress(Node& aDesk) const
+  int InProgress(Node& aAllocator) const
   {
     int n = 0;
-    for (const auto& [head, count] : aDesk.mBalancer->Own()) {
+    for (const auto& [head, count] : aAllocator.mBalancer->Own()) {
       n += count;
     }
     return n;
@@ -240,12 +242,12 @@
   std::vector<PoolReplica> mReplicas;
   std::vector<EngineTarget> mPlainEngines;
   std::deque<Node> mNodes;
-  std::deque<std::pair<std::string, std::string>> mOnTheWay; ///< address and bytes
+  std::deque<std::pair<std::string, std::string>> mInTransit; ///< address and bytes
   std::deque<Late> mLate;
   std::function<bool(const std::string& aFrom, const std::string& aTo)> mLoses;
   std::function<Duration()> mDelays; ///< how late a message arrives; null: at once
   int mSent = 0;
-  bool mAtOnce = false; ///< messages arrive within the call that sends them
+  bool mDeliversAtOnce = false; ///< messages arrive within the call that sends them
 };
 
 } // namespace pepperbay
--- a/src/pepperbay/places/place_book.cpp
+++ b/src/pepperbay/places/slot_table.cpp
@@ -1,16 +1,16 @@
-#include "pepperbay/places/place_book.hpp"
+#include "pepperbay/places/slot_table.hpp"
 
 #include <utility>
 
 namespace pepperbay {
 
-PlaceBook::PlaceBook(std::function<void(const std::string& aHead)> aOnFree)
+SlotTable::SlotTable(std::function<void(const std::string& aHead)> aOnFree)
   : mOnFree(std::move(aOnFree))
 {
 }
 
 void
-PlaceBook::Grant(const std::string& aNode,
+SlotTable::Grant(const std::string& aNode,
                  std::uint64_t aIncarnation,
                  std::uint64_t aId,
                  const std::string& aHead,
@@ -21,12 +21,12 @@
     FreeAll(node);
     node.mIncarnation = aIncarnation;
   }
-  node.mHeard = aNow;
+  node.mLastReceived = aNow;
   node.mHeads[aId] = aHead;
 }
 
 const std::string*
-PlaceBook::Find(const std::string& aNode, std::uint64_t aIncarnation, std::uint64_t aId) const
+SlotTable::Find(const std::string& aNode, std::uint64_t aIncarnation, std::uint64_t aId) const
 {
   const auto node = mNodes.find(aNode);
   if (node == mNodes.end() || node->second.mIncarnation != aIncarnation) {
@@ -37,7 +37,7 @@
 }
 
 void
-PlaceBook::End(const std::string& aNode, std::uint64_t aIncarnation, std::uint64_t aId)
+SlotTable::End(const std::string& aNode, std::uint64_t aIncarnation, std::uint64_t aId)
 {
   const auto it = mNodes.find(aNode);
   if (it == mNodes.end() || it->second.mIncarnation != aIncarnation) {
@@ -51,7 +51,7 @@
 }
 
 void
-PlaceBook::KeepOnly(const std::string& aNode,
+SlotTable::KeepOnly(const std::string& aNode,
                     std::uint64_t aIncarnation,
                     std::uint64_t aUpTo,
                     const std::set<std::uint64_t>& aIds,
@@ -61,7 +61,7 @@
   if (node == mNodes.end() || node->second.mIncarnation != aIncarnation) {
     return;
   }
-  node->second.mHeard = aNow;
+  node->second.mLastReceived = aNow;
   auto& heads = node->second.mHeads;
   for (auto it = heads.begin(); it != heads.end() && it->first <= aUpTo;) {
     if (aIds.count(it->first) != 0) {
@@ -74,10 +74,10 @@
 }
 
 void
-PlaceBook::Tick(TimePoint aNow)
+SlotTable::Tick(TimePoint aNow)
 {
   for (auto it = mNodes.begin(); it != mNodes.end();) {
-    if (aNow - it->second.mHeard < kForgetNode) {
+    if (aNow - it->second.mLastReceived < kNodeTimeout) {
       ++it;
       continue;
     }
@@ -87,7 +87,7 @@
 }
 
 void
-PlaceBook::FreeAll(Node& aNode)
+SlotTable::FreeAll(Node& aNode)
 {
   for (const auto& [id, head] : aNode.mHeads) {
     mOnFree(head);
--- a/src/pepperbay/places/place_wire.hpp
+++ b/src/pepperbay/places/slot_wire.hpp
@@ -39,8 +39,8 @@
 inline Duration
 DurationOf(std::uint64_t aNs)
 {
-  constexpr Duration kMost = std::chrono::hours(1);
-  return Duration(std::min<std::uint64_t>(aNs, static_cast<std::uint64_t>(kMost.count())));
+  constexpr Duration kMax = std::chrono::hours(1);
+  return Duration(std::min<std::uint64_t>(aNs, static_cast<std::uint64_t>(kMax.count())));
 }
 
 /// @return a name of requests that the same engines can serve.
--- a/src/pepperbay/relay/exchange.hpp
+++ b/src/pepperbay/relay/exchange.hpp
@@ -41,7 +41,7 @@
   AttemptTarget mTarget;
   std::string mGroup;       ///< the replica that it went to; empty for a plain engine
   std::uint64_t mEpoch = 0; ///< of that replica
-  PlaceTicket mTicket;
+  SlotTicket mTicket;
   RateGrant mRate;
   TimePoint mSentAt{};
   std::optional<TimePoint> mHeadAt; ///< its answer began: it runs the request
@@ -109,11 +109,11 @@
   void PlaceAndSend(bool aAgain, const NoPlace& aOtherwise);
   /// The same, with the budget drawn where it is a plain service's.
   void FindAndSend(bool aAgain, const NoPlace& aOtherwise);
-  PlaceRequest MakePlaceRequest(bool aAgain) const;
+  SlotRequest MakePlaceRequest(bool aAgain) const;
   /// Ask for a place in a pool. A second attempt that requests have not earned is asked for from
   /// whoever keeps the rest of the budget.
-  void AskForPlace(bool aAgain, PlaceAgent::Done aDone);
-  static Sending SendingTo(const Place& aPlace);
+  void AskForPlace(bool aAgain, SlotAgent::Done aDone);
+  static Sending SendingTo(const SlotResult& aPlace);
   /// To an engine of a plain service; nothing when there is none.
   std::optional<Sending> ChooseEngine() const;
   /// @return the engine of the stale connection, as the plan lists it, until the request goes there
@@ -133,7 +133,7 @@
   /// @return whether an engine beside those could take it, as far as this node knows.
   bool HasTargetBeside(const std::set<std::string>& aLeftOut) const;
   /// @return whether a place that was granted is one that it may go to.
-  bool IsUsable(const Place& aPlace) const;
+  bool IsUsable(const SlotResult& aPlace) const;
   /// @return whether another engine could take it, as far as this node knows.
   bool HasTarget() const;
   /// @return whether the pool bears one more second attempt.
--- a/src/pepperbay/relay/exchange_second.cpp
+++ b/src/pepperbay/relay/exchange_second.cpp
@@ -151,26 +151,26 @@
 Exchange::Move(const std::string& aWhy)
 {
   mMoving = true;
-  AskForPlace(true,
-              [self = shared_from_this(), serial = mCurrent.mSerial, aWhy](const Place& aPlace) {
-                self->mMoving = false;
-                if (aPlace.mOutcome != PlaceOutcome::kGranted) {
-                  self->CountRefusedMove(ToString(aPlace.mOutcome));
-                  self->mMoveNotBefore = self->mCore->Now() + kMoveAgainAfter;
-                  return;
-                }
-                if (!self->IsCurrent(serial) || !self->ShouldLeave(self->mCurrent)) {
-                  self->mCore->mPlaces.End(aPlace.mTicket); // it ended, or goes on, in the meantime
-                  return;
-                }
-                if (!self->IsUsable(aPlace)) {
-                  self->mCore->mPlaces.End(aPlace.mTicket);
-                  self->CountRefusedMove(ToString(PlaceOutcome::kNoReplica));
-                  self->mMoveNotBefore = self->mCore->Now() + kMoveAgainAfter;
-                  return;
-                }
-                self->StartNext(SendingTo(aPlace), aWhy);
-              });
+  AskForPlace(
+    true, [self = shared_from_this(), serial = mCurrent.mSerial, aWhy](const SlotResult& aPlace) {
+      self->mMoving = false;
+      if (aPlace.mOutcome != SlotOutcome::kGranted) {
+        self->CountRefusedMove(ToString(aPlace.mOutcome));
+        self->mMoveNotBefore = self->mCore->Now() + kMoveAgainAfter;
+        return;
+      }
+      if (!self->IsCurrent(serial) || !self->ShouldLeave(self->mCurrent)) {
+        self->mCore->mPlaces.End(aPlace.mTicket); // it ended, or goes on, in the meantime
+        return;
+      }
+      if (!self->IsUsable(aPlace)) {
+        self->mCore->mPlaces.End(aPlace.mTicket);
+        self->CountRefusedMove(ToString(SlotOutcome::kNoReplica));
+        self->mMoveNotBefore = self->mCore->Now() + kMoveAgainAfter;
+        return;
+      }
+      self->StartNext(SendingTo(aPlace), aWhy);
+    });
 }
 
 void
--- a/src/pepperbay/relay/exchange_sending.cpp
+++ b/src/pepperbay/relay/exchange_sending.cpp
@@ -64,18 +64,18 @@
   return sending;
 }
 
-PlaceRequest
+SlotRequest
 Exchange::MakePlaceRequest(bool aAgain) const
 {
-  PlaceRequest request;
+  SlotRequest request;
   request.mService = mService->mName;
   request.mTried = LeftOut();
   // What goes on, or was let down once, has waited already.
   request.mClaimant = { aAgain ? 0 : std::clamp(mPriority, 0, kLeastUrgent), ShortId(mCustomer) };
-  request.mAgain = aAgain;
+  request.mSecondAttempt = aAgain;
   if (!mService->mPool) {
     request.mOnce = !mRoute->Repeatable();
-    request.mDrawn = aAgain; // see PlaceAndSend()
+    request.mBudgetDrawn = aAgain; // see PlaceAndSend()
     return request;
   }
   const EnginePool& pool = *mService->mPool;
@@ -90,12 +90,12 @@
 }
 
 void
-Exchange::AskForPlace(bool aAgain, PlaceAgent::Done aDone)
+Exchange::AskForPlace(bool aAgain, SlotAgent::Done aDone)
 {
   mCore->mPlaces.Ask(
     MakePlaceRequest(aAgain),
-    [self = shared_from_this(), done = std::move(aDone)](const Place& aPlace) {
-      if (aPlace.mOutcome != PlaceOutcome::kNoBudget || self->mPhase == Phase::kOver) {
+    [self = shared_from_this(), done = std::move(aDone)](const SlotResult& aPlace) {
+      if (aPlace.mOutcome != SlotOutcome::kNoBudget || self->mPhase == Phase::kOver) {
         done(aPlace);
         return;
       }
@@ -104,15 +104,15 @@
           done(aPlace);
           return;
         }
-        PlaceRequest request = self->MakePlaceRequest(true);
-        request.mDrawn = true;
+        SlotRequest request = self->MakePlaceRequest(true);
+        request.mBudgetDrawn = true;
         self->mCore->mPlaces.Ask(request, done);
       });
     });
 }
 
 Sending
-Exchange::SendingTo(const Place& aPlace)
+Exchange::SendingTo(const SlotResult& aPlace)
 {
   Sending sending;
   sending.mTarget = {
@@ -138,7 +138,7 @@
       return; // the caller has left
     }
     if (!aGranted) {
-      aOtherwise(ToString(PlaceOutcome::kNoBudget));
+      aOtherwise(ToString(SlotOutcome::kNoBudget));
       return;
     }
     self->FindAndSend(true, aOtherwise);
@@ -158,20 +158,20 @@
     return;
   }
   mPhase = Phase::kPlacing;
-  AskForPlace(aAgain, [self = shared_from_this(), aOtherwise](const Place& aPlace) {
+  AskForPlace(aAgain, [self = shared_from_this(), aOtherwise](const SlotResult& aPlace) {
     if (self->mPhase == Phase::kOver) {
       self->mCore->mPlaces.End(aPlace.mTicket); // the caller has left
       return;
     }
-    self->mFoundFull = aPlace.mOutcome == PlaceOutcome::kFull;
+    self->mFoundFull = aPlace.mOutcome == SlotOutcome::kFull;
     self->mLimitedFor = aPlace.mRetryAfter;
-    if (aPlace.mOutcome != PlaceOutcome::kGranted) {
+    if (aPlace.mOutcome != SlotOutcome::kGranted) {
       aOtherwise(ToString(aPlace.mOutcome));
       return;
     }
     if (!self->IsUsable(aPlace)) {
       self->mCore->mPlaces.End(aPlace.mTicket);
-      aOtherwise(ToString(PlaceOutcome::kNoReplica));
+      aOtherwise(ToString(SlotOutcome::kNoReplica));
       return;
     }
     self->SendToEngine(SendingTo(aPlace));
@@ -255,7 +255,7 @@
 }
 
 bool
-Exchange::IsUsable(const Place& aPlace) const
+Exchange::IsUsable(const SlotResult& aPlace) const
 {
   return MayAskFurther() || AskOnceMore().count(aPlace.mHead.mId) != 0;
 }
--- a/src/pepperbay/relay/relay.cpp
+++ b/src/pepperbay/relay/relay.cpp
@@ -110,7 +110,7 @@
   void OnCall(const std::string& aEngine) override { mCore.mPlaces.OnCall(aEngine); }
 
   const RelayCounters& Counters() const override { return mCore.mCounters; }
-  const PlaceCounters& Places() const override { return mCore.mPlaces.Counters(); }
+  const SlotCounters& Places() const override { return mCore.mPlaces.Counters(); }
   const RetryCounters& Retries() const override { return mCore.mRetries.Counters(); }
 
   void BeginStop(std::function<void()> aDone) override
--- a/src/pepperbay/relay/relay_core.cpp
+++ b/src/pepperbay/relay/relay_core.cpp
@@ -24,10 +24,10 @@
   return options;
 }
 
-PlaceAgentOptions
+SlotAgentOptions
 PlaceOptionsOf(const RelayOptions& aOptions)
 {
-  PlaceAgentOptions options;
+  SlotAgentOptions options;
   options.mNode = aOptions.mNode;
   options.mIncarnation = aOptions.mIncarnation;
   options.mDataCentre = aOptions.mDataCentre;
@@ -80,7 +80,7 @@
   , mPlaces(PlaceOptionsOf(mOptions),
             { mOptions.mNow,
               mHooks.mSendToDesk,
-              [this](const LimitNews& aNews) { OnLimit(aNews); },
+              [this](const LimitUpdate& aNews) { OnLimit(aNews); },
               [this](const proto::PlaceMessage& aMessage) { mRetries.OnMessage(aMessage); } },
             &mBalancer)
   , mRetries(RetryOptionsOf(mOptions), { mOptions.mNow, mHooks.mSendToDesk })
@@ -274,7 +274,7 @@
 }
 
 void
-RelayCore::OnLimit(const LimitNews& aNews)
+RelayCore::OnLimit(const LimitUpdate& aNews)
 {
   mCounters.mLimitedEngines = mBalancer.Limits().Limited();
   const EngineTarget* engine = mPlan ? FindEngine(*mPlan, aNews.mEngine) : nullptr;
--- a/src/pepperbay/relay/relay_core.hpp
+++ b/src/pepperbay/relay/relay_core.hpp
@@ -57,7 +57,7 @@
   /// @return engines that may be tried to see whether the path works.
   std::vector<AttemptTarget> EnginesToTry() const;
   /// An engine's limit has changed, as far as this node knows.
-  void OnLimit(const LimitNews& aNews);
+  void OnLimit(const LimitUpdate& aNews);
   /// @return limits that engines' answers name, of their present starts.
   EngineLimits Limits() const;
   void Log(const char* aEvent, const std::map<std::string, std::string>& aFields) const;
@@ -68,7 +68,7 @@
   RelayHooks mHooks;
   std::shared_ptr<const TrafficPlan> mPlan;
   Balancer mBalancer;
-  PlaceAgent mPlaces;
+  SlotAgent mPlaces;
   StallDetector mStalls;
   RefusalBook mGoneHeads; ///< heads that listen no more, as told to the holder
   RetryAgent mRetries;    ///< of plain services; places are asked for by mPlaces
--- a/src/pepperbay/retries/retry_agent_test.cpp
+++ b/src/pepperbay/retries/retry_agent_test.cpp
@@ -119,7 +119,7 @@
   simulation.Run(milliseconds(140));
   EXPECT_EQ(answers, 1);
   simulation.Ask(node, [&](bool) { ++answers; });
-  EXPECT_EQ(answers, 2) << "at once, without the keeper";
+  EXPECT_EQ(answers, 2) << "at once, without the budget owner";
 }
 
 /// Guards against a question being counted twice when its answer is lost and it is resent.
