--- a/include/pepperbay/coordinator/coordinator.hpp
+++ b/include/pepperbay/coordinator/coordinator.hpp
@@ -32,7 +32,7 @@
   std::uint64_t mIncarnation = 0;
   std::string mDataCentre;
   std::string mAddress;     ///< where this node hears its peers
-  std::string mDeskAddress; ///< where its place desk hears others; see places/place_agent.hpp
+  std::string mDeskAddress; ///< where its place desk hears others; see places/slot_agent.hpp
   /// Where it carries connections to engines for others, and what those have to name; empty: it
   /// does not. See tunnel/tunnel_server.hpp.
   std::string mTunnelAddress;
--- a/include/pepperbay/places/local_share.hpp
+++ b/include/pepperbay/places/local_share.hpp
@@ -1,5 +1,6 @@
 /// @file
-/// @brief What a node may send to engines with a limit when nobody counts for it. Pure.
+/// @brief Share of the rate limits of engines that a node may use when no node counts requests for
+/// them. Pure: no I/O and no clock of its own.
 #pragma once
 
 #include "pepperbay/base/clock.hpp"
@@ -13,29 +14,33 @@
 struct LocalShareOptions
 {
   std::string mNode;
-  /// Of each limit, for the own parts of all nodes together.
+  /// Fraction of each limit that is set aside for the local shares of all nodes together.
   double mShare = 0.1;
-  /// A part of less than one request is one request now and then, which may be sent for so long and
-  /// is lost otherwise: kept, many nodes would send theirs in the same moment.
+  /// Where the local share is less than one request per period of this length, the node may send
+  /// one request in a time slot of this length; an unused slot is lost. If slots were kept, many
+  /// nodes would send theirs in the same moment.
   Duration mOpenFor = std::chrono::milliseconds(500);
 };
 
-/// A node's own part of engines' limits. The times at which it may send lie apart from other nodes'
-/// by a hash, so that all parts together stay within theirs without a message.
+/// The local share of one node. The times at which it may send are offset from those of other nodes
+/// by a hash, so that all shares together stay within the fraction set aside, without messages.
 ///
 /// @code
-/// if (part.MayUse(ShortId(engine), limit, nodes, now)) { part.Use(ShortId(engine), now); send(); }
+/// if (share.MayUse(ShortId(engine), limit, nodes, now)) {
+///   share.Use(ShortId(engine), now);
+///   send();
+/// }
 /// @endcode
 class LocalShare
 {
 public:
   explicit LocalShare(LocalShareOptions aOptions);
 
-  /// @param aPerSecond what the engine takes from all nodes together
-  /// @param aNodes that may be at work
+  /// @param aPerSecond limit of the engine in requests per second, from all nodes together
+  /// @param aNodes number of nodes that may be running
   bool MayUse(std::uint32_t aEngine, double aPerSecond, int aNodes, TimePoint aNow) const;
   void Use(std::uint32_t aEngine, TimePoint aNow) { mUsed[aEngine] = aNow; }
-  /// Forget what is long past.
+  /// Drop old entries.
   void Tick(TimePoint aNow);
 
 private:
--- a/include/pepperbay/places/rate_ledger.hpp
+++ b/include/pepperbay/places/rate_ledger.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// @brief Requests that may go to engines with a limit, as the node that counts them gives them
-/// out. Pure.
+/// @brief Counts requests to engines with a rate limit, on the node that holds the rate lease.
+/// Pure: no I/O and no clock of its own.
 #pragma once
 
 #include "pepperbay/admission/token_bucket.hpp"
@@ -16,30 +16,32 @@
 
 struct RateLedgerOptions
 {
-  /// Of each limit; the rest is the parts that nodes keep for when nobody counts, see own_part.hpp.
+  /// Fraction of each limit that is granted here. The rest is set aside for local shares when no
+  /// node counts, see local_share.hpp.
   double mCountedShare = 0.9;
-  /// An engine whose limit is lower still gets a request so often, or nobody would hear that the
-  /// limit is over.
+  /// Minimum rate at which an engine gets requests, however low its limit; without it, no node
+  /// would learn that the limit is over.
   double mMinPerSecond = 0.2;
-  /// What was not used is kept for so long, and two requests at least: one for those who go first.
+  /// Burst: unused capacity is kept for this time, and two requests at least, of which one is for
+  /// the most urgent.
   Duration mBurst = std::chrono::milliseconds(250);
-  /// Returns are promised this far ahead at most: callers come back within a third of what they
-  /// have left.
+  /// Retry times are reserved at most this far ahead, since callers come back within a third of the
+  /// time they have left.
   Duration mMaxAhead = std::chrono::seconds(2);
-  /// What is not used for so long is forgotten.
+  /// An account that is not used for this time is dropped.
   Duration mExpireAfter = std::chrono::seconds(30);
 };
 
-/// An engine with a limit.
+/// An engine with a rate limit.
 struct LimitedEngine
 {
   std::uint32_t mId = 0; ///< by ShortId()
   std::string mDataCentre;
-  double mPerSecond = 0; ///< from all nodes together
+  double mPerSecond = 0; ///< limit in requests per second, from all nodes together
 };
 
-/// What engines with a limit may get, counted by this node alone while it holds the right to; see
-/// coordinator/rate_leases.hpp.
+/// Grants requests to engines with a limit. Only the node that holds the rate lease of a data
+/// centre counts for its engines, see coordinator/rate_leases.hpp.
 ///
 /// @code
 /// if (ledger.Counts(engine.mDataCentre, now) && ledger.Take(engine, "pool/m", claimant, now)) {
@@ -54,31 +56,31 @@
   explicit RateLedger(RateLedgerOptions aOptions = {});
 
   void SetLeases(RateLeases aLeases) { mLeases = std::move(aLeases); }
-  /// @return whether this node counts for the engines of a data centre.
+  /// @return whether this node holds the rate lease of a data centre.
   bool Counts(const std::string& aDataCentre, TimePoint aNow) const;
 
-  /// @param aWork what the request is of; those of the same work wait for the same engines
-  /// @return whether the engine may get a request of this claimant now
+  /// @param aWork kind of request; requests of the same kind wait for the same engines
+  /// @return whether the engine may get a request of this claimant now; spends nothing
   bool MayTake(const LimitedEngine& aEngine,
                const std::string& aWork,
                const Claimant& aClaimant,
                TimePoint aNow);
-  /// Count a request that goes there.
+  /// Grant and count a request. @return false where the limit does not allow it
   bool Take(const LimitedEngine& aEngine,
             const std::string& aWork,
             const Claimant& aClaimant,
             TimePoint aNow);
-  /// Count a request that was sent without asking.
+  /// Count a request that was sent without a grant.
   void Spend(const LimitedEngine& aEngine, TimePoint aNow);
-  /// No engine has anything left for a request.
-  /// @param aPerSecond what all engines that do such work take together
-  /// @return when the caller should come back
+  /// Record that a request was refused since all engines have reached their limits.
+  /// @param aPerSecond sum of the limits of all engines for this kind of request
+  /// @return the time after which the caller should retry
   Duration Refuse(const std::string& aWork,
                   double aPerSecond,
                   const Claimant& aClaimant,
                   TimePoint aNow);
   void Tick(TimePoint aNow);
-  /// @return engines that are counted.
+  /// @return the number of engines with an account.
   std::size_t Size() const { return mAccounts.size(); }
 
 private:
@@ -91,7 +93,7 @@
   struct Queue
   {
     TurnBook mTurns;
-    TimePoint mPromised{}; ///< when the last one who was refused should come back
+    TimePoint mPromised{}; ///< latest retry time that was handed out
   };
 
   TokenBucket::Options OptionsFor(double aPerSecond) const;
--- a/include/pepperbay/places/slot_table.hpp
+++ b/include/pepperbay/places/slot_table.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Which places at replicas a desk has granted to which node. Pure.
+/// @brief Slots that an allocator has granted, by node. Pure: no I/O and no clock of its own.
 #pragma once
 
 #include "pepperbay/base/clock.hpp"
@@ -12,21 +12,22 @@
 
 namespace pepperbay {
 
-/// Grants by node, until they are given back. Words of their end may be lost or come twice, and a
-/// node may end without one; what a node says that it still holds puts all of that right.
+/// Slots by node, until they are returned. Messages about ended slots may be lost or duplicated,
+/// and a node may exit without one; the periodic list of the slots that a node still holds corrects
+/// the table.
 ///
 /// @code
-/// PlaceBook book([&](const std::string& aHead) { balancer.OnEnd(aHead); });
-/// book.Grant("n1", incarnation, 17, "engine-4", now);
-/// book.End("n1", incarnation, 17);
+/// SlotTable table([&](const std::string& aHead) { balancer.OnEnd(aHead); });
+/// table.Grant("n1", incarnation, 17, "engine-4", now);
+/// table.End("n1", incarnation, 17);
 /// @endcode
 class SlotTable
 {
 public:
-  /// A node that has not been heard for so long has ended, and its connections with it.
+  /// A node without messages for this time is taken to have exited, and its connections with it.
   static constexpr std::chrono::seconds kNodeTimeout{ 3 };
 
-  /// @param aOnFree called for each place that is free again
+  /// @param aOnFree called for each slot that becomes free
   explicit SlotTable(std::function<void(const std::string& aHead)> aOnFree);
 
   void Grant(const std::string& aNode,
@@ -34,18 +35,18 @@
              std::uint64_t aId,
              const std::string& aHead,
              TimePoint aNow);
-  /// @return the head where this question has a place already; null for none.
+  /// @return the head of the slot that this question has already; null for none.
   const std::string* Find(const std::string& aNode,
                           std::uint64_t aIncarnation,
                           std::uint64_t aId) const;
   void End(const std::string& aNode, std::uint64_t aIncarnation, std::uint64_t aId);
-  /// Of all questions up to one, a node still holds only these places.
+  /// Free all slots of a node with ids up to `aUpTo`, except `aIds`.
   void KeepOnly(const std::string& aNode,
                 std::uint64_t aIncarnation,
                 std::uint64_t aUpTo,
                 const std::set<std::uint64_t>& aIds,
                 TimePoint aNow);
-  /// Free the places of nodes that are gone.
+  /// Free the slots of nodes that have timed out.
   void Tick(TimePoint aNow);
 
 private:
--- a/include/pepperbay/retries/retry_agent.hpp
+++ b/include/pepperbay/retries/retry_agent.hpp
@@ -26,8 +26,7 @@
 {
   std::string mNode;
   std::uint64_t mIncarnation = 0;
-  std::string
-    mAddress; ///< address at which this node receives answers of the budget owner; `IP:port`, UDP
+  std::string mAddress; ///< for answers of the budget owner; `IP:port`, UDP
   RetryLimits mLimits;
   RetryParts mParts;
   /// A question is sent again once if it is not answered within this time.
--- a/include/pepperbay/routing/traffic_plan.hpp
+++ b/include/pepperbay/routing/traffic_plan.hpp
@@ -37,7 +37,7 @@
   bool mLost = false;
 };
 
-/// A node that finds places for the requests of others; see places/place_agent.hpp.
+/// A node that finds places for the requests of others; see places/slot_agent.hpp.
 struct DeskAddress
 {
   std::string mNode;
--- a/src/pepperbay/places/limited_engines.hpp
+++ b/src/pepperbay/places/limited_engines.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// @brief Callers of many nodes before engines that name limits, and what each engine got; for
-/// tests.
+/// @brief Simulates callers of many nodes and engines with rate limits, and records the requests
+/// that each engine gets; for tests.
 #pragma once
 
 #include "slot_simulation.hpp"
@@ -12,29 +12,31 @@
 
 namespace pepperbay {
 
-/// What callers do.
+/// The load of the callers.
 struct LimitedLoadOptions
 {
-  double mPerSecond = 50; ///< requests of all nodes together
-  /// From a request's arrival at an engine to the head of its answer, and to the answer's end.
+  double mPerSecond = 50; ///< requests per second of all nodes together
+  /// Time from the arrival of a request at an engine to the head of its answer, and to the end of
+  /// the answer.
   Duration mHeadAfter = milliseconds(150);
   Duration mEndAfter = milliseconds(1000);
   bool mPlain = false; ///< requests are for the plain service
   std::uint32_t mSeed = 1;
 };
 
-/// Sends requests of all nodes and answers them as engines do, in steps of virtual time.
+/// Sends requests of all nodes and answers them like engines, in steps of virtual time.
 class LimitedEngines
 {
 public:
   struct Arrival
   {
     TimePoint mAt{};
-    bool mInformed = false; ///< the node had passed on an answer with a limit half a second before
-    bool mLocalShare = false; ///< sent by the node's own part of the limit, counted by no desk
+    bool mInformed =
+      false; ///< the node received an answer with a limit at least half a second before
+    bool mLocalShare = false; ///< sent from the local share of the limit, counted by no allocator
   };
 
-  /// Which requests are looked at.
+  /// Which requests are counted.
   enum class Which
   {
     kAll,
@@ -62,8 +64,8 @@
     }
   }
 
-  /// @return the most requests that an engine got in a window of four seconds from nodes that had
-  /// been told of its limit, from a time on.
+  /// @return the maximum number of requests that an engine got in any window of four seconds after
+  /// `aFrom` from nodes that knew its limit.
   int MaxInFourSeconds(const std::string& aEngine,
                        TimePoint aFrom,
                        Which aWhich = Which::kAll) const
@@ -90,7 +92,7 @@
     return most;
   }
 
-  /// @return requests that an engine got between two times.
+  /// @return the number of requests that an engine got between two times.
   int Got(const std::string& aEngine, TimePoint aFrom, TimePoint aTo) const
   {
     const auto it = mArrivals.find(aEngine);
@@ -104,7 +106,7 @@
 
   TimePoint Now() const { return mSimulation->mClock.Now(); }
   int Refused() const { return mRefused; }
-  /// @return of these, how many were not told when to come back.
+  /// @return the number of refused requests without a retry time.
   int RefusedWithoutTime() const { return mRefusedWithoutTime; }
 
 private:
@@ -163,7 +165,7 @@
     node.mAgent->Ask(request, [this, aNode](const SlotResult& aResult) { Send(aNode, aResult); });
   }
 
-  /// What the relay does for services none of whose engines has a limit.
+  /// Chooses an engine like the relay does for services without limited engines.
   void ChooseByItself(std::size_t aNode)
   {
     TrafficPlan plan;
@@ -240,9 +242,10 @@
   std::mt19937 mRandom;
   std::map<std::string, std::optional<double>> mLimits;
   std::map<std::string, std::vector<Arrival>> mArrivals;
-  /// When nodes passed on an answer with a limit for the first time, by engine and node.
+  /// When nodes first received an answer with a limit, by engine and node.
   std::map<std::string, std::map<std::size_t, TimePoint>> mInformedAt;
-  std::map<std::size_t, std::uint64_t> mByLocalShares; ///< requests so far, by node
+  std::map<std::size_t, std::uint64_t>
+    mByLocalShares; ///< requests from the local share so far, by node
   std::vector<Running> mRunning;
   int mRefused = 0;
   int mRefusedWithoutTime = 0;
--- a/src/pepperbay/places/limited_engines_test.cpp
+++ b/src/pepperbay/places/limited_engines_test.cpp
@@ -10,8 +10,8 @@
 
 using Allocators = std::map<std::string, std::vector<std::string>>;
 
-/// Nodes in the data centres a, b and c before four replicas in each, with the desks that they
-/// would have: one for all of a few nodes, two of each data centre of many.
+/// Nodes in the data centres a, b and c with four replicas in each. A small fleet has one pair of
+/// allocators for all data centres, a large one has a pair in each data centre.
 class Fleet
 {
 public:
@@ -32,8 +32,8 @@
     Renew();
   }
 
-  /// What the holder of the lease does: the right to count goes on with whoever has it, and to the
-  /// next desk that works once it has run out.
+  /// Acts as the holder of the lease: renews the rate lease of the node that has it, and gives it
+  /// to the next running allocator once it has expired.
   void Renew()
   {
     const TimePoint now = mSimulation.mClock.Now();
@@ -76,23 +76,24 @@
   Allocators mAllocators;
 };
 
-/// Most that an engine with a limit may get in any four seconds: what it names, and two requests
-/// that are kept for a moment.
+/// Maximum number of requests of an engine in any four seconds: its limit, and a burst of two
+/// requests.
 double
 MaxAllowed(double aLimit)
 {
   return 4 * aLimit + 2;
 }
 
-/// The same of what desks count: nine tenths of the limit, and two requests that are kept.
+/// The same for requests counted by allocators: nine tenths of the limit, and a burst of two
+/// requests.
 double
 MaxCounted(double aLimit)
 {
   return 4 * 0.9 * aLimit + 2;
 }
 
-/// The same of nodes that no desk answers: a tenth of the limit in four seconds and in the half
-/// second for which a part stays open. Their times fall together as chance arrivals do.
+/// The same for local shares: a tenth of the limit in four seconds and in the half second for which
+/// a time slot stays open. Time slots coincide like random arrivals.
 double
 MaxByLocalShares(double aLimit)
 {
@@ -100,14 +101,14 @@
   return part + 2 + 3 * std::sqrt(part);
 }
 
-/// Most that an engine has to expect from all nodes, whatever fails.
+/// Maximum that an engine may get from all nodes under any combination of failures.
 double
 MaxExpected(double aLimit)
 {
   return 1.5 * 4 * aLimit + 5;
 }
 
-/// Guards against an engine that names a limit getting as many requests as before, from all nodes
+/// Guards against an engine with a limit that still gets the full rate of requests from all nodes
 /// together.
 TEST(LimitedEngines, AnEngineGetsNoMoreThanItsLimit)
 {
@@ -126,20 +127,20 @@
   }
 }
 
-/// Guards against a limit that is kept by not using it, while callers are refused.
+/// Guards against unused capacity of a limit while callers are refused.
 TEST(LimitedEngines, ALimitIsUsedWhileCallersWait)
 {
   for (const int nodes : { 8, 75, 295 }) {
     for (const double limit : { 3.4, 0.6, 12.0 }) {
       Fleet fleet(nodes, 4);
       LimitedLoadOptions options;
-      options.mPerSecond = 150; // three times what all replicas can take
+      options.mPerSecond = 150; // three times the capacity of all replicas
       LimitedEngines load(&fleet.mSimulation, options);
       load.SetLimit("e1", limit);
       fleet.Run(&load, seconds(5));
       const TimePoint from = load.Now();
       fleet.Run(&load, seconds(40));
-      const double all = 40 * std::min(limit, 6.0); // its slots alone let it have that many
+      const double all = 40 * std::min(limit, 6.0); // its slots alone allow 6 per second
       EXPECT_GE(load.Got("e1", from, load.Now()), 0.8 * std::min(all, 40 * limit))
         << nodes << " nodes, " << limit;
       EXPECT_LE(load.MaxInFourSeconds("e1", from), MaxAllowed(limit)) << nodes << ", " << limit;
@@ -147,8 +148,8 @@
   }
 }
 
-/// Guards against a model all of whose engines are limited: who cannot be served is told so at
-/// once, and when to come back.
+/// Guards against waiting where all engines of a model are limited: callers that cannot be served
+/// are refused at once, with a retry time.
 TEST(LimitedEngines, WhereAllAreLimitedCallersAreToldWhenToRetry)
 {
   Fleet fleet(8);
@@ -174,7 +175,7 @@
 }
 
 /// Guards against engines of a plain service, which nodes choose by themselves, getting more than
-/// they name.
+/// their limits.
 TEST(LimitedEngines, AnEngineOfAPlainServiceGetsNoMoreThanItsLimit)
 {
   for (const int nodes : { 8, 75 }) {
@@ -206,8 +207,8 @@
   }
 }
 
-/// Guards against a limit that goes on after the engine has ceased to name it, and against one that
-/// is not followed when it changes.
+/// Guards against a limit that stays in force after the engine has stopped stating it, and against
+/// a changed limit that is not applied.
 TEST(LimitedEngines, ALimitIsFollowedAsItChangesAndEnds)
 {
   for (const int nodes : { 8, 75 }) {
@@ -235,8 +236,8 @@
   }
 }
 
-/// Guards against a desk that stood still counting by a right that has run out, beside the one that
-/// has it since.
+/// Guards against an allocator that was frozen and counts by an expired rate lease, beside the node
+/// that has the lease now.
 TEST(LimitedEngines, AnAllocatorThatWasFrozenCountsNothingUntilItIsGivenTheLease)
 {
   Fleet fleet(8);
@@ -259,10 +260,9 @@
   EXPECT_LE(load.MaxInFourSeconds("e1", from), MaxExpected(3.4));
 }
 
-/// Guards against the sum over nodes going beyond a limit whatever fails.
-/// Property: desks that end, stand still and come back, nodes that see another desk than the
-/// others, lost, late and doubled messages: an engine gets no more than its limit from those it has
-/// told.
+/// Guards against the sum over all nodes exceeding a limit under failures. Allocators fail, freeze
+/// and come back, nodes have different allocators in their plans, and messages are lost, late and
+/// duplicated; an engine gets no more than its limit from the nodes that know the limit.
 RC_GTEST_PROP(LimitedEnginesProperty, TheSumHoldsWhateverFails, ())
 {
   std::mt19937 random(*rc::gen::arbitrary<std::uint32_t>());
@@ -294,7 +294,7 @@
         node.mAlive = !node.mAlive;
         break;
       case 1:
-        node.mIgnoresPlans = node.mFrozen; // it wakes with what it knew before
+        node.mIgnoresPlans = node.mFrozen; // resumes with its old plan
         node.mFrozen = !node.mFrozen;
         break;
       case 2:
--- a/src/pepperbay/places/local_share.cpp
+++ b/src/pepperbay/places/local_share.cpp
@@ -8,7 +8,7 @@
 namespace pepperbay {
 namespace {
 
-/// A request less often than this is none.
+/// Shares below one request per period of this length count as zero.
 constexpr std::chrono::hours kMaxPeriod{ 1 };
 
 } // namespace
--- a/src/pepperbay/places/rate_ledger.cpp
+++ b/src/pepperbay/places/rate_ledger.cpp
@@ -37,7 +37,7 @@
   Account& account = it->second;
   account.mUsed = aNow;
   if (account.mLeaseSince != since) {
-    // Another node has counted since then, and given out what came meanwhile.
+    // Another node has held the lease in between and granted the capacity of that time.
     account.mLeaseSince = since;
     account.mBucket.Empty(aNow);
   }
@@ -61,7 +61,8 @@
     return false;
   }
   const auto queue = mQueues.find(aWork);
-  // Nothing is kept for those who go first once it would be wasted.
+  // Capacity is not reserved for more urgent requests once the bucket is full, where it would be
+  // wasted.
   return bucket.IsFull(aNow) || queue == mQueues.end() ||
          !queue->second.mTurns.IsOutranked(aClaimant, aNow);
 }
@@ -98,7 +99,7 @@
   const double rate = std::max(aPerSecond * mOptions.mCountedShare, mOptions.mMinPerSecond);
   const auto apart = std::chrono::duration_cast<Duration>(std::chrono::duration<double>(1 / rate));
   const TimePoint next = std::max(queue.mPromised, aNow) + apart;
-  // Whoever is told of a later time has left by then, and its turn would be nobody's.
+  // A caller with a later retry time has given up by then, and its reserved turn would go unused.
   if (next - aNow <= mOptions.mMaxAhead) {
     queue.mPromised = next;
   }
--- a/src/pepperbay/places/rate_ledger_test.cpp
+++ b/src/pepperbay/places/rate_ledger_test.cpp
@@ -38,7 +38,7 @@
     << "what was not used is not saved up";
 }
 
-/// Guards against a node that counts beside another one.
+/// Guards against two nodes that count for the same engines.
 TEST(RateLedger, GrantsNothingWithoutTheLease)
 {
   RateLedger ledger;
@@ -51,7 +51,8 @@
   ledger.Spend(engine, kStart + seconds(1));
 }
 
-/// Guards against a desk that comes back with what it had when it lost the right.
+/// Guards against an allocator that regains the lease and uses tokens from before it lost the
+/// lease.
 TEST(RateLedger, StartsEmptyAfterABreak)
 {
   RateLedger ledger;
@@ -73,7 +74,7 @@
   EXPECT_GE(n, 16);
 }
 
-/// Guards against a limit of 0 that lasts for ever, because nobody asks whether it is over.
+/// Guards against a limit of 0 that lasts for ever, because no request checks whether it is over.
 TEST(RateLedger, ALimitOfZeroIsTriedNowAndThen)
 {
   RateLedger ledger;
@@ -111,7 +112,7 @@
     << "nothing is wasted";
 }
 
-/// Guards against callers who are told to come back at a time at which there is nothing for them.
+/// Guards against retry times at which there is no capacity for the caller.
 TEST(RateLedger, RefusedCallersAreToldToRetryAtTheRateOfTheLimit)
 {
   RateLedger ledger;
@@ -142,7 +143,8 @@
   EXPECT_EQ(ledger.Size(), 0U);
 }
 
-/// Guards against nodes that cannot reach a desk going beyond what is set aside for them.
+/// Guards against nodes without an allocator exceeding the fraction that is set aside for local
+/// shares.
 TEST(LocalShare, SharesOfAllNodesTogetherStayWithinTheirs)
 {
   for (const int nodes : { 1, 8, 75, 295 }) {
@@ -167,8 +169,8 @@
         }
         most = std::max(most, sent.size());
       }
-      // In four seconds and what is kept for half a second; times that lie apart by a hash fall
-      // together now and then, as chance arrivals do.
+      // Four seconds, and half a second in which a time slot stays open; time slots that are offset
+      // by a hash coincide now and then, as random arrivals do.
       const double part = 4.5 * limit * 0.1;
       EXPECT_LE(static_cast<double>(most), part + 2 + 3 * std::sqrt(part))
         << nodes << " nodes, " << limit;
--- a/src/pepperbay/places/slot_agent.cpp
+++ b/src/pepperbay/places/slot_agent.cpp
@@ -9,10 +9,10 @@
 namespace pepperbay {
 namespace {
 
-/// A question goes to this many desks at most before a node chooses alone.
+/// Number of allocators that are asked before a node chooses locally.
 constexpr int kMaxAllocators = 2;
 
-/// @return nothing where the answer decides nothing.
+/// @return nothing for an answer without a decision.
 std::optional<SlotOutcome>
 OutcomeOf(proto::PlaceAnswer::Outcome aOutcome)
 {
@@ -199,7 +199,8 @@
   ++mCounters.mAsked;
   const std::string address = allocator->mAddress;
   const std::string bytes = aPending.mBytes;
-  mPending[aId] = std::move(aPending); // before the answer, which may come within the call
+  mPending[aId] =
+    std::move(aPending); // stored before sending, since the answer may arrive within the call
   mHooks.mSend(address, bytes);
 }
 
@@ -316,7 +317,7 @@
       }
       return;
     case proto::PlaceMessage::BODY_NOT_SET:
-      ++mCounters.mBadMessages; // of a newer version
+      ++mCounters.mBadMessages; // message type of a newer version
       return;
   }
 }
@@ -342,7 +343,7 @@
   const proto::PlaceAnswer& answer = aMessage.answer();
   if (!IsUsable(answer.limit())) {
     ++mCounters.mBadMessages;
-    return; // the question is asked again
+    return; // the question times out and is sent again
   }
   const auto outcome = OutcomeOf(answer.outcome());
   for (const auto it : answer.failing()) {
@@ -354,12 +355,12 @@
     Held& held = mHeld[ticket.mAllocator];
     held.mAddress = answer.desk_address();
     if (!held.mIds.insert(ticket.mId).second) {
-      return; // the answer came twice, and the place is in use
+      return; // duplicate answer; the slot is in use
     }
   }
   const auto it = mPending.find(answer.id());
   if (it == mPending.end()) {
-    End(ticket); // it came too late
+    End(ticket); // late answer
     return;
   }
   Pending pending = std::move(it->second);
@@ -377,7 +378,7 @@
     return;
   }
   SlotResult result;
-  // A desk that counts names a time; where none does, nodes have their own parts.
+  // An allocator with the rate lease sends a retry time; without one, the local share applies.
   if (*outcome == SlotOutcome::kLimited && answer.retry_after_us() == 0) {
     result = ChooseLocally(pending.mRequest, Chooser::kLocalShare, true);
   }
@@ -453,7 +454,7 @@
 {
   proto::PlaceMessage message;
   message.ParseFromString(aPending.mBytes);
-  message.mutable_ask()->set_counted(true); // by the first one, if it has arrived
+  message.mutable_ask()->set_counted(true); // counted with the first question, if that arrived
   mHooks.mSend(aPending.mAllocator.mAddress, message.SerializeAsString());
 }
 
@@ -481,11 +482,11 @@
     mPending.erase(id);
     ++mCounters.mTimedOut;
     mSkippedUntil[pending.mAllocator.mNode] = now + mOptions.mSkipFor;
-    // Its answer may have been lost, and the place be kept for nobody.
+    // The answer may have been lost, with a slot granted: report the held slots to this allocator.
     Held& held = mHeld[pending.mAllocator.mNode];
     held.mAddress = pending.mAllocator.mAddress;
     held.mReportedEmpty = false;
-    // Under a new number, or a late answer of this desk would be taken for the next one's.
+    // A new id, so that a late answer of this allocator is not taken for an answer of the next.
     AskAllocator(++mLastId, std::move(pending));
   }
 }
--- a/src/pepperbay/places/slot_agent_test.cpp
+++ b/src/pepperbay/places/slot_agent_test.cpp
@@ -13,9 +13,9 @@
 
 constexpr int kSlots = SlotSimulation::kSlots;
 
-/// Pattern: many nodes with a few requests each, all at once, before replicas whose places just
-/// suffice. Symptom of failure: engines reject a fifth of the arrivals while places stand free,
-/// since every node picks the replica that seemed emptiest to all.
+/// Guards against engines that reject a fifth of the requests while other slots are free: many
+/// nodes with a few requests each choose at once, and every node picks the replica that appeared
+/// least loaded to all.
 TEST(Slots, ManyNodesFillAllSlotsAndNoneTwice)
 {
   SlotSimulation simulation;
@@ -30,7 +30,8 @@
     ASSERT_EQ(result.mOutcome, SlotOutcome::kGranted);
     ++taken[result.mHead.mId];
     if (&it == &simulation.mNodes.front()) {
-      it.mBalancer->OnStart(result.mHead.mId); // the desk's own request, counted when it is sent
+      it.mBalancer->OnStart(
+        result.mHead.mId); // request of the allocator itself, counted when it is sent
     }
   }
   EXPECT_EQ(taken.size(), 12U);
@@ -39,8 +40,8 @@
   }
 }
 
-/// Pattern: an engine of a plain service answers errors, and each node sends it a request now and
-/// then. Guards against each node's callers paying for what two nodes have seen already.
+/// Guards against callers of each node getting errors of an engine of a plain service that two
+/// nodes have reported already: each node sends the engine only a request now and then.
 TEST(Slots, ReportsOfTwoNodesAboutAnEngineTellAll)
 {
   SlotSimulation simulation;
@@ -82,9 +83,9 @@
   EXPECT_EQ(simulation.InProgress(allocator, "e0"), 0);
 }
 
-/// Symptom: requests wait for seconds after a node that finds places has died.
-/// Sequence: it dies; nodes ask it until their heartbeats show that it is gone.
-/// Cause: a question waited for its answer for ever, or each one for its own timeout.
+/// Guards against requests that wait for seconds after the allocator has failed: until heartbeats
+/// show the failure, each question waited for its answer for ever, or each one for its own
+/// time-out.
 TEST(Slots, ASilentAllocatorCostsOneTimeout)
 {
   SlotSimulation simulation;
@@ -105,8 +106,8 @@
   EXPECT_EQ(node.mAgent->Counters().mTimedOut, 1U);
 }
 
-/// No desk answers: a node goes by what it knows itself, and nodes that cannot see each other do
-/// not all start with the same replica.
+/// Without an allocator, nodes choose from their own information, and nodes that do not know of
+/// each other must not all start with the same replica.
 TEST(Slots, NodesWithoutAnAllocatorSpreadOverTheReplicas)
 {
   SlotSimulation simulation;
@@ -133,8 +134,9 @@
   }
 }
 
-/// Pattern: a domain of one data centre is dark, its places are full, and another data centre has
-/// many. Its desk knows what is taken there; so it grants the place and counts it.
+/// All slots of one data centre are full, since one of its failure domains is down, and another
+/// data centre has free ones. The allocator there knows which slots are occupied, so it grants and
+/// counts the slot.
 TEST(Slots, AFullDataCentreUsesTheSlotsOfAnother)
 {
   SlotSimulation simulation;
@@ -165,8 +167,9 @@
   EXPECT_EQ(simulation.InProgress(there), 0);
 }
 
-/// Guards against second attempts that are refused while most of what the requests of all nodes
-/// have earned is unspent, since those that break off are at one node, and against more than that.
+/// Guards against second attempts being refused at one node with many failures while most of what
+/// the requests of all nodes have earned is unspent, and against more second attempts than were
+/// earned.
 TEST(Slots, WhatAllNodesRequestsHaveEarnedIsForAnyOfThem)
 {
   SlotSimulation simulation;
@@ -186,7 +189,7 @@
   request.mModel = "m";
   request.mSecondAttempt = true;
   int granted = 0;
-  for (int i = 0; i < 60; ++i) { // all of them at one node
+  for (int i = 0; i < 60; ++i) { // all at one node
     granted +=
       simulation.Ask(simulation.mNodes[5], request).mOutcome == SlotOutcome::kGranted ? 1 : 0;
   }
@@ -196,8 +199,8 @@
   EXPECT_EQ(simulation.Ask(simulation.mNodes[5], request).mOutcome, SlotOutcome::kGranted);
 }
 
-/// Guards against requests that earn twice, since the first desk's answer was lost and another desk
-/// was asked, or the question was sent again.
+/// Guards against requests that earn twice, since the answer of the first allocator was lost and
+/// another one was asked, or the question was sent again.
 TEST(Slots, ARequestThatSeveralAllocatorsAreAskedForEarnsOnce)
 {
   SlotSimulation simulation;
@@ -210,7 +213,7 @@
   constexpr int kRequests = 20;
   for (int i = 0; i < kRequests; ++i) {
     simulation.Ask(simulation.mNodes[2]);
-    simulation.Run(milliseconds(400)); // d1 is asked first again
+    simulation.Run(milliseconds(400)); // until d1 is no longer skipped
   }
   EXPECT_EQ(simulation.mNodes[2].mAgent->Counters().mTimedOut, 20U);
   simulation.mLoses = nullptr;
@@ -229,8 +232,8 @@
   EXPECT_LE(granted, kRequests * RetryLimits().mShare * RetryParts().mEarned);
 }
 
-/// Guards against more second attempts in a window than requests have earned, when desks end one
-/// after the other, nodes choose alone, and questions are lost or sent again.
+/// Guards against more second attempts in a window than requests have earned, when allocators fail
+/// one after the other, nodes choose locally, and questions are lost or resent.
 RC_GTEST_PROP(SlotsProperty, SecondAttemptsStayWithinWhatRequestsEarn, ())
 {
   SlotSimulation simulation;
@@ -282,9 +285,9 @@
   RC_ASSERT(account.Excess() <= 0);
 }
 
-/// Symptom: a place is granted and given back at once, and its request is never sent.
-/// Sequence: the answer comes before the call that sends the question has returned.
-/// Cause: the question was noted after it was sent.
+/// Guards against a slot that is granted and returned at once while its request is never sent: the
+/// answer arrives before the call that sends the question has returned, so the question must be
+/// stored before it is sent.
 TEST(Slots, AnAnswerMayComeWithinTheCall)
 {
   SlotSimulation simulation;
@@ -296,8 +299,8 @@
   EXPECT_EQ(simulation.Ask(node).mTicket.mAllocator, "desk");
 }
 
-/// Symptom: a node sends to a replica that it knows to be lost.
-/// Sequence: the holder's word has reached the node and not yet its desk.
+/// Guards against a node that sends to a replica that it knows to be lost: the update of the lease
+/// holder has reached the node but not yet its allocator.
 TEST(Slots, ANodeDoesNotUseASlotAtAReplicaThatItKnowsToBeLost)
 {
   SlotSimulation simulation;
@@ -326,11 +329,10 @@
   EXPECT_EQ(node.mAgent->Counters().mBadMessages, 2U);
 }
 
-/// Symptom: a desk refuses requests though nothing is in progress; it counts places that nobody
-/// holds, or frees places that are held.
-/// Sequence: messages are lost, doubled and reordered; nodes ask, give back, die and start again.
-/// Property: each question is answered once, and once the network is well a desk counts exactly
-/// what nodes hold.
+/// Guards against an allocator that refuses requests though nothing is in progress, since it counts
+/// slots that no node holds, or that frees slots that are held. Messages are lost, duplicated and
+/// reordered; nodes ask, return slots, fail and restart. Each question is answered once, and once
+/// the network has recovered an allocator counts exactly the slots that nodes hold.
 RC_GTEST_PROP(SlotsProperty, AnAllocatorCountsWhatIsHeldOnceTheNetworkIsHealthy, ())
 {
   SlotSimulation simulation;
--- a/src/pepperbay/places/slot_allocator.cpp
+++ b/src/pepperbay/places/slot_allocator.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief The side of a place agent that finds places for other nodes.
+/// @brief The allocator side of a slot agent: grants slots to other nodes.
 
 #include "pepperbay/base/hash.hpp"
 #include "pepperbay/places/slot_agent.hpp"
@@ -67,7 +67,7 @@
   const std::string* before = mTable.Find(asker.mNode, asker.mIncarnation, ask.id());
   const Choice granted = before != nullptr && mPlan ? FindByHead(ask.service(), *before) : Choice();
   if (granted.mHead != nullptr) {
-    Grant(granted, asker, ask, answer); // the answer was lost, or is slow
+    Grant(granted, asker, ask, answer); // resent question: the answer was lost or is late
     mHooks.mSend(asker.mAddress, message.SerializeAsString());
     return;
   }
--- a/src/pepperbay/places/slot_limits.cpp
+++ b/src/pepperbay/places/slot_limits.cpp
@@ -1,9 +1,9 @@
 /// @file
-/// @brief What a place agent does about limits that engines name.
+/// @brief Handling of rate limits by a slot agent.
 ///
-/// One node counts for the engines of a data centre: the desk that holds the right to, see
-/// coordinator/rate_leases.hpp. Whoever has a limit from the engine itself sends there only what
-/// that desk has counted, or its own part.
+/// One node counts requests for the engines of a data centre: the allocator that holds the rate
+/// lease, see coordinator/rate_leases.hpp. A node that knows a limit from the engine itself sends
+/// only requests that this allocator has counted, or requests from its local share.
 
 #include "pepperbay/base/hash.hpp"
 #include "pepperbay/places/slot_agent.hpp"
@@ -16,10 +16,11 @@
 namespace pepperbay {
 namespace {
 
-/// What an engine has said to a desk of another data centre is taken from the desk that counts for
-/// it after this, which hears all of its answers.
+/// After this time, a statement that an engine made to an allocator of another data centre is
+/// replaced by the limit from the allocator that counts for the engine, since that one receives all
+/// statements.
 constexpr std::chrono::seconds kOwnStatementLifetime{ 2 };
-/// Limits of a service that are told with one answer; each is some 20 bytes.
+/// Maximum number of limits in one answer; each takes some 20 bytes.
 constexpr std::size_t kMaxLimited = 32;
 constexpr std::chrono::seconds kRetainEvery{ 5 };
 
@@ -79,7 +80,7 @@
 SlotAgent::StandingFor(Chooser aChooser, const std::string& aWork, const Claimant& aClaimant)
 {
   if (!KnowsLimits()) {
-    return nullptr; // choices cost nothing more where no engine has a limit
+    return nullptr; // no added cost where no engine has a limit
   }
   return [this, aChooser, aWork, aClaimant](const EngineTarget& aEngine) {
     return StandingOf(aEngine, aChooser, aWork, aClaimant);
@@ -212,7 +213,8 @@
   }
   LimitStatement statement = StatementOf(note.limit(), Now());
   if (note.stamp_ns() != 0) {
-    // By this node's own clock, so that answers to requests of several nodes can be ordered.
+    // Converted to the clock of this node, so that answers to requests of several nodes can be
+    // ordered.
     statement.mLeft = std::min(TimePoint(std::chrono::nanoseconds(note.stamp_ns())), Now());
     statement.mAnswered = std::min(statement.mLeft + DurationOf(note.took_ns()), Now());
   }
@@ -280,7 +282,7 @@
   if (answer.limit().has_per_second() || own == nullptr || !own->mPerSecond) {
     return true;
   }
-  // The desk has counted nothing, as it does not know yet.
+  // The allocator has not counted the request, since it does not know the limit yet.
   SendLimit(answer.desk_address(), aHead, {}, *own);
   return false;
 }
@@ -309,7 +311,7 @@
   if (!KnowsLimits()) {
     return;
   }
-  // Of plain services all, since nodes choose their engines by themselves.
+  // All plain services, since nodes choose engines of these services by themselves.
   for (const auto& [name, engines] : mPlan->mEngines) {
     std::for_each(engines.begin(), engines.end(), add);
   }
--- a/src/pepperbay/places/slot_simulation.hpp
+++ b/src/pepperbay/places/slot_simulation.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Place agents of several nodes on a wire of the test's own, for their tests.
+/// @brief Simulates slot agents of several nodes and the network between them; for tests.
 #pragma once
 
 #include "pepperbay/base/hash.hpp"
@@ -17,11 +17,11 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-/// Agents of several nodes before replicas of one model, and the messages between them.
+/// Agents of several nodes, replicas of one model, and the messages between the agents.
 class SlotSimulation
 {
 public:
-  static constexpr int kSlots = 4; ///< of a replica, unless a test says otherwise
+  static constexpr int kSlots = 4; ///< slots of a replica, unless a test sets another number
 
   struct Node
   {
@@ -30,10 +30,10 @@
     std::unique_ptr<Balancer> mBalancer;
     std::unique_ptr<SlotAgent> mAgent;
     bool mAlive = true;
-    bool mFrozen = false;       ///< does nothing for now; what comes is heard later
-    bool mIgnoresPlans = false; ///< goes on by its plan, whatever is published
+    bool mFrozen = false;       ///< processes nothing; messages arrive later
+    bool mIgnoresPlans = false; ///< ignores newly published plans
     std::vector<std::string>
-      mAllocators; ///< that it sees, best first; empty: those of its data centre
+      mAllocators; ///< allocators in its plan, best first; empty: those of its data centre
   };
 
   explicit SlotSimulation(int aSlots = kSlots)
@@ -63,7 +63,7 @@
     }
   }
 
-  /// One engine of the plain service in a data centre.
+  /// Add an engine of the plain service in a data centre.
   void AddPlainEngine(const std::string& aId, const std::string& aDataCentre)
   {
     mPlainEngines.push_back({ aId, "10.0.0.2:80", aDataCentre });
@@ -104,7 +104,7 @@
     return node;
   }
 
-  /// Give every node the plan: the named desk finds places, of its data centre.
+  /// Publish a plan to every node, with the allocators of each data centre, best first.
   void Publish(const std::map<std::string, std::vector<std::string>>& aAllocators)
   {
     for (auto& it : mNodes) {
@@ -139,7 +139,7 @@
     }
   }
 
-  /// Deliver what is on its way, and what that leads to.
+  /// Deliver all messages that are due, and the messages sent in reply.
   void Deliver()
   {
     for (std::size_t n = mLate.size(); n > 0; --n) {
@@ -180,7 +180,7 @@
     }
   }
 
-  /// Ask for a place and wait for the answer.
+  /// Ask for a slot and wait for the answer.
   SlotResult Ask(Node& aNode, const SlotRequest& aRequest)
   {
     SlotResult result;
@@ -229,7 +229,7 @@
     std::string mBytes;
   };
 
-  /// Who counts the requests to engines with a limit.
+  /// The node that counts requests to engines with a limit.
   struct Counting
   {
     std::string mNode;
@@ -237,7 +237,8 @@
   };
 
   ManualClock mClock;
-  std::map<std::string, Counting> mCounting; ///< by data centre; in force with the next plan
+  std::map<std::string, Counting>
+    mCounting; ///< by data centre; applies with the next published plan
   std::shared_ptr<const RouteTable> mRoutes;
   std::vector<PoolReplica> mReplicas;
   std::vector<EngineTarget> mPlainEngines;
@@ -245,7 +246,7 @@
   std::deque<std::pair<std::string, std::string>> mInTransit; ///< address and bytes
   std::deque<Late> mLate;
   std::function<bool(const std::string& aFrom, const std::string& aTo)> mLoses;
-  std::function<Duration()> mDelays; ///< how late a message arrives; null: at once
+  std::function<Duration()> mDelays; ///< delay of a message; null: none
   int mSent = 0;
   bool mDeliversAtOnce = false; ///< messages arrive within the call that sends them
 };
--- a/src/pepperbay/places/slot_wire.hpp
+++ b/src/pepperbay/places/slot_wire.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Values of place messages and their typed form.
+/// @brief Conversion between fields of slot messages and typed values.
 #pragma once
 
 #include "pepperbay/routing/limit_book.hpp"
@@ -35,7 +35,7 @@
     std::chrono::duration_cast<std::chrono::microseconds>(aWork).count());
 }
 
-/// @return a time between two events as a message has it; an hour at most, whatever it says.
+/// @return a duration field of a message, limited to one hour.
 inline Duration
 DurationOf(std::uint64_t aNs)
 {
@@ -43,7 +43,7 @@
   return Duration(std::min<std::uint64_t>(aNs, static_cast<std::uint64_t>(kMax.count())));
 }
 
-/// @return a name of requests that the same engines can serve.
+/// @return a key for requests that the same engines can serve.
 inline std::string
 WorkOf(const std::string& aService, const std::string& aModel)
 {
@@ -64,14 +64,14 @@
   return limit;
 }
 
-/// @return whether a message says something of a limit that can be used.
+/// @return whether the limit in a message is valid.
 inline bool
 IsUsable(const proto::EngineLimit& aLimit)
 {
   return !aLimit.has_per_second() || IsLimit(aLimit.per_second());
 }
 
-/// @param aLimit usable
+/// @param aLimit valid by IsUsable()
 inline LimitStatement
 StatementOf(const proto::EngineLimit& aLimit, TimePoint aNow)
 {
