--- a/include/pepperbay/places/local_share.hpp
+++ b/include/pepperbay/places/local_share.hpp
@@ -16,9 +16,9 @@
   std::string mNode;
   /// Fraction of each limit that is set aside for the local shares of all nodes together.
   double mShare = 0.1;
-  /// Where the local share is less than one request per period of this length, the node may send
-  /// one request in a time slot of this length; an unused slot is lost. If slots were kept, many
-  /// nodes would send theirs in the same moment.
+  /// Where the local share is less than one request in this time, the node may send one request per
+  /// period, within a window of this length; an unused window is lost. If its request could be sent
+  /// later, many nodes would send theirs in the same moment.
   Duration mOpenFor = std::chrono::milliseconds(500);
 };
 
--- a/src/pepperbay/places/limited_engines_test.cpp
+++ b/src/pepperbay/places/limited_engines_test.cpp
@@ -93,7 +93,7 @@
 }
 
 /// The same for local shares: a tenth of the limit in four seconds and in the half second for which
-/// a time slot stays open. Time slots coincide like random arrivals.
+/// a send window is open. Windows coincide like random arrivals.
 double
 MaxByLocalShares(double aLimit)
 {
--- a/src/pepperbay/places/rate_ledger_test.cpp
+++ b/src/pepperbay/places/rate_ledger_test.cpp
@@ -169,8 +169,8 @@
         }
         most = std::max(most, sent.size());
       }
-      // Four seconds, and half a second in which a time slot stays open; time slots that are offset
-      // by a hash coincide now and then, as random arrivals do.
+      // Four seconds, and half a second for which a send window is open; windows that are offset by
+      // a hash coincide now and then, as random arrivals do.
       const double part = 4.5 * limit * 0.1;
       EXPECT_LE(static_cast<double>(most), part + 2 + 3 * std::sqrt(part))
         << nodes << " nodes, " << limit;
--- a/src/pepperbay/places/slot_simulation.hpp
+++ b/src/pepperbay/places/slot_simulation.hpp
@@ -30,10 +30,9 @@
     std::unique_ptr<Balancer> mBalancer;
     std::unique_ptr<SlotAgent> mAgent;
     bool mAlive = true;
-    bool mFrozen = false;       ///< processes nothing; messages arrive later
-    bool mIgnoresPlans = false; ///< ignores newly published plans
-    std::vector<std::string>
-      mAllocators; ///< allocators in its plan, best first; empty: those of its data centre
+    bool mFrozen = false;                 ///< processes nothing; messages arrive later
+    bool mIgnoresPlans = false;           ///< ignores newly published plans
+    std::vector<std::string> mAllocators; ///< best first; empty: those of its data centre
   };
 
   explicit SlotSimulation(int aSlots = kSlots)
@@ -237,8 +236,7 @@
   };
 
   ManualClock mClock;
-  std::map<std::string, Counting>
-    mCounting; ///< by data centre; applies with the next published plan
+  std::map<std::string, Counting> mCounting; ///< by data centre; published with the next plan
   std::shared_ptr<const RouteTable> mRoutes;
   std::vector<PoolReplica> mReplicas;
   std::vector<EngineTarget> mPlainEngines;
