--- a/examples/places/ask.cpp
+++ b/examples/places/ask.cpp
@@ -58,7 +58,7 @@
             [&](const SlotResult& aPlace) {
               ticket = aPlace.mTicket;
               std::cout << ToString(aPlace.mOutcome) << " at " << aPlace.mHead.mId << " by "
-                        << ticket.mDesk << "\n";
+                        << ticket.mAllocator << "\n";
             });
   std::cout << "in progress by the desk's account: " << deskView.Own().at("engine-1") << "\n";
   node->End(ticket);
--- a/src/pepperbay/relay/exchange_limits.cpp
+++ b/src/pepperbay/relay/exchange_limits.cpp
@@ -34,7 +34,7 @@
     return;
   }
   std::string how = mSent == 0 ? "first" : mStreamStarted ? "resumed" : "second";
-  how += aSending.mTicket.mDesk.empty() ? "_alone" : "_by_desk";
+  how += aSending.mTicket.mAllocator.empty() ? "_alone" : "_by_desk";
   ++mCore->mCounters.mSentToLimited[how];
 }
 
--- a/src/pepperbay/relay/exchange_log.cpp
+++ b/src/pepperbay/relay/exchange_log.cpp
@@ -67,7 +67,7 @@
   auto& fields = *aFields;
   fields["group"] = aSending.mGroup;
   fields["epoch"] = std::to_string(aSending.mEpoch);
-  fields["desk"] = aSending.mTicket.mDesk;
+  fields["desk"] = aSending.mTicket.mAllocator;
   fields["in_flight"] = std::to_string(mCore->mBalancer.InFlight(plan, aSending.mTarget.mEngine));
   fields["head_silent_ms"] = Millis(mCore->mStalls.Silence(aSending.mTarget.mEngine, now));
   if (aSending.mWriting) {
