--- a/cmake/Layers.cmake
+++ b/cmake/Layers.cmake
@@ -12,8 +12,8 @@
 pepperbay_library(membership SOURCES roster.cpp evidence.cpp shared_evidence.cpp engine_directory.cpp
                           stall_detector.cpp
                   TESTS membership_test.cpp engine_directory_test.cpp USES base proto) # pure
-pepperbay_library(quarantine SOURCES request_key.cpp crash_book.cpp recent_runs.cpp
-                  TESTS request_key_test.cpp crash_book_test.cpp recent_runs_test.cpp part_holds_test.cpp
+pepperbay_library(quarantine SOURCES request_key.cpp crash_tracker.cpp recent_completions.cpp
+                  TESTS request_key_test.cpp crash_tracker_test.cpp recent_completions_test.cpp part_quarantine_test.cpp
                   USES base) # pure
 pepperbay_library(reach SOURCES way_book.cpp proxy_choice.cpp tunnel_wire.cpp
                   TESTS way_book_test.cpp proxy_choice_test.cpp tunnel_wire_test.cpp USES base) # pure
@@ -38,11 +38,11 @@
 pepperbay_library(dispatch SOURCES asked_engines.cpp attempt.cpp claims.cpp failure_step.cpp
                   TESTS asked_engines_test.cpp attempt_test.cpp failure_step_test.cpp
                   USES routing admission proto) # pure
-pepperbay_library(places SOURCES place_agent.cpp place_desk.cpp place_limits.cpp place_book.cpp rate_ledger.cpp
-                          own_part.cpp
-                  TESTS place_agent_test.cpp limited_engines_test.cpp rate_ledger_test.cpp
+pepperbay_library(places SOURCES slot_agent.cpp slot_allocator.cpp slot_limits.cpp slot_table.cpp rate_ledger.cpp
+                          local_share.cpp
+                  TESTS slot_agent_test.cpp limited_engines_test.cpp rate_ledger_test.cpp
                   USES routing admission proto) # pure
-pepperbay_library(retries SOURCES own_retries.cpp retry_agent.cpp retry_keeper.cpp
+pepperbay_library(retries SOURCES local_retries.cpp retry_agent.cpp retry_budget_owner.cpp
                   TESTS retry_agent_test.cpp
                   USES admission places proto) # pure
 pepperbay_library(wire SOURCES peer_link.cpp codec.cpp TESTS codec_test.cpp peer_link_test.cpp USES base proto
--- a/include/pepperbay/relay/relay.hpp
+++ b/include/pepperbay/relay/relay.hpp
@@ -10,8 +10,8 @@
 #include "pepperbay/base/clock.hpp"
 #include "pepperbay/base/error.hpp"
 #include "pepperbay/membership/stall_detector.hpp"
-#include "pepperbay/places/place_agent.hpp"
-#include "pepperbay/quarantine/crash_book.hpp"
+#include "pepperbay/places/slot_agent.hpp"
+#include "pepperbay/quarantine/crash_tracker.hpp"
 #include "pepperbay/relay/dialect.hpp"
 #include "pepperbay/relay/latency.hpp"
 #include "pepperbay/retries/retry_agent.hpp"
@@ -178,7 +178,7 @@
   /// Notes that the control thread sends a status query or an order to an engine.
   virtual void OnCall(const std::string& aEngine) = 0;
   virtual const RelayCounters& Counters() const = 0;
-  virtual const PlaceCounters& Places() const = 0;
+  virtual const SlotCounters& Places() const = 0;
   virtual const RetryCounters& Retries() const = 0;
   /// Lets the requests in progress finish, within the limits of the options, then calls `aDone`
   /// once.
--- a/src/pepperbay/coordinator/coordinator.cpp
+++ b/src/pepperbay/coordinator/coordinator.cpp
@@ -380,7 +380,7 @@
 void
 Coordinator::Impl::PublishSuspects()
 {
-  const CrashBook& crashes = mSuspects.Crashes();
+  const CrashTracker& crashes = mSuspects.Crashes();
   mPublishedQuarantine = mSuspects.QuarantineRevision();
   if (mSuspectRequests && crashes.Revision() == mPublishedSuspects) {
     return;
@@ -398,7 +398,7 @@
   const TimePoint now = Now();
   return static_cast<std::uint64_t>(
     std::count_if(mSuspectRequests->begin(), mSuspectRequests->end(), [now](const auto& aIt) {
-      return aIt.second.mHeldUntil > now;
+      return aIt.second.mQuarantinedUntil > now;
     }));
 }
 
--- a/src/pepperbay/coordinator/coordinator_dump.cpp
+++ b/src/pepperbay/coordinator/coordinator_dump.cpp
@@ -63,7 +63,7 @@
   }
   Json held = Json::array();
   for (const auto& it : mSuspects.Crashes().Keys()) {
-    const TimePoint until = mSuspects.Crashes().HeldUntil(it);
+    const TimePoint until = mSuspects.Crashes().QuarantinedUntil(it);
     if (until > Now()) {
       held.push_back({ { "key", ToString(it) },
                        { "engines", mSuspects.Crashes().Ends(it).size() },
--- a/src/pepperbay/coordinator/quarantine_manager.cpp
+++ b/src/pepperbay/coordinator/quarantine_manager.cpp
@@ -50,7 +50,7 @@
 void
 QuarantineManager::OnEnd(const RequestKey& aKey, const EngineEnd& aEnd)
 {
-  const TimePoint before = mCrashes.HeldUntil(aKey);
+  const TimePoint before = mCrashes.QuarantinedUntil(aKey);
   if (IsCleared(aKey, aEnd.mEngine) || !mCrashes.Add(aKey, aEnd, Now())) {
     return;
   }
@@ -83,7 +83,7 @@
 bool
 QuarantineManager::Forget(const RequestKey& aKey, const char* aReason)
 {
-  const bool quarantined = mCrashes.HeldUntil(aKey) > Now();
+  const bool quarantined = mCrashes.QuarantinedUntil(aKey) > Now();
   const auto ends = mCrashes.Ends(aKey);
   if (!mCrashes.Clear(aKey)) {
     return false;
@@ -125,7 +125,7 @@
 {
   const RequestKey key = KeyOf(aRequest);
   const TimePoint now = Now();
-  const TimePoint before = mCrashes.HeldUntil(key);
+  const TimePoint before = mCrashes.QuarantinedUntil(key);
   bool isNew = false;
   for (const auto& it : aRequest.ends()) {
     const auto suspicion = SuspicionOf(it.suspicion());
@@ -147,10 +147,10 @@
 void
 QuarantineManager::OnScoreIncreased(const RequestKey& aKey, TimePoint aBefore, const char* aSource)
 {
-  if (mCrashes.Charge(aKey) >= mOptions.mCrashes.mHoldFrom) {
+  if (mCrashes.Charge(aKey) >= mOptions.mCrashes.mShortQuarantineScore) {
     mToPersist.emplace(aKey, Now());
   }
-  const TimePoint until = mCrashes.HeldUntil(aKey);
+  const TimePoint until = mCrashes.QuarantinedUntil(aKey);
   if (until <= aBefore) {
     return;
   }
@@ -183,7 +183,7 @@
         mSendDue = Now();
       }
     } else if (AddEnds(it, "peer") && aPassOn) {
-      mToSend[key] = mCrashes.HeldUntil(key) > Now() ? mOptions.mSendCount : 1;
+      mToSend[key] = mCrashes.QuarantinedUntil(key) > Now() ? mOptions.mSendCount : 1;
       mSendDue = Now();
     }
   }
@@ -314,7 +314,7 @@
 bool
 QuarantineManager::NeedsWrite(const RequestKey& aKey, bool aHoldsLease) const
 {
-  if (mCrashes.Charge(aKey) < mOptions.mCrashes.mHoldFrom) {
+  if (mCrashes.Charge(aKey) < mOptions.mCrashes.mShortQuarantineScore) {
     return false; // another cause accounts for the exits by now
   }
   const int score = mCrashes.Score(aKey);
--- a/src/pepperbay/coordinator/quarantine_manager.hpp
+++ b/src/pepperbay/coordinator/quarantine_manager.hpp
@@ -9,7 +9,7 @@
 #pragma once
 
 #include "pepperbay/base/error.hpp"
-#include "pepperbay/quarantine/crash_book.hpp"
+#include "pepperbay/quarantine/crash_tracker.hpp"
 
 #include <functional>
 #include <map>
@@ -23,7 +23,7 @@
 struct QuarantineManagerOptions
 {
   std::string mNode;
-  CrashBookOptions mCrashes;
+  CrashTrackerOptions mCrashes;
   /// How often an update is sent. A lost message is compensated by the next; if as many are lost,
   /// the peer is unreachable. An update that quarantines no request is forwarded once: each exit of
   /// an engine causes some of those.
@@ -84,7 +84,7 @@
   /// Sends and writes what is due.
   void Tick(bool aHoldsLease);
 
-  const CrashBook& Crashes() const { return mCrashes; }
+  const CrashTracker& Crashes() const { return mCrashes; }
   /// Increases whenever a request is quarantined, quarantined for longer, or released.
   std::uint64_t QuarantineRevision() const { return mQuarantineRevision; }
   /// Updates of peers or records that could not be decoded.
@@ -134,7 +134,7 @@
 
   QuarantineManagerOptions mOptions;
   QuarantineManagerHooks mHooks;
-  CrashBook mCrashes;
+  CrashTracker mCrashes;
   std::map<RequestKey, int> mToSend;       ///< requests, and how often each is still to be sent
   std::map<RequestKey, int> mClearsToSend; ///< the same for requests that were cleared
   std::map<RequestKey, Cleared> mCleared;
--- a/src/pepperbay/places/rate_ledger.cpp
+++ b/src/pepperbay/places/rate_ledger.cpp
@@ -19,10 +19,10 @@
 TokenBucket::Options
 RateLedger::OptionsFor(double aPerSecond) const
 {
-  const double rate = std::max(aPerSecond * mOptions.mCountedPart, mOptions.mLeastPerSecond);
-  constexpr double kLeastDepth = 2;
+  const double rate = std::max(aPerSecond * mOptions.mCountedShare, mOptions.mMinPerSecond);
+  constexpr double kMinDepth = 2;
   return { rate,
-           std::max(kLeastDepth, rate * std::chrono::duration<double>(mOptions.mKeep).count()) };
+           std::max(kMinDepth, rate * std::chrono::duration<double>(mOptions.mBurst).count()) };
 }
 
 TokenBucket&
@@ -37,7 +37,7 @@
   Account& account = it->second;
   account.mUsed = aNow;
   if (account.mLeaseSince != since) {
-    // Another node has counted since then, and given out what came meanwhile.
+    // Another node has held the lease in between and granted the capacity of that time.
     account.mLeaseSince = since;
     account.mBucket.Empty(aNow);
   }
@@ -61,7 +61,8 @@
     return false;
   }
   const auto queue = mQueues.find(aWork);
-  // Nothing is kept for those who go first once it would be wasted.
+  // Capacity is not reserved for more urgent requests once the bucket is full, where it would be
+  // wasted.
   return bucket.IsFull(aNow) || queue == mQueues.end() ||
          !queue->second.mTurns.IsOutranked(aClaimant, aNow);
 }
@@ -95,11 +96,11 @@
 {
   Queue& queue = mQueues[aWork];
   queue.mTurns.OnRefused(aClaimant, aNow);
-  const double rate = std::max(aPerSecond * mOptions.mCountedPart, mOptions.mLeastPerSecond);
+  const double rate = std::max(aPerSecond * mOptions.mCountedShare, mOptions.mMinPerSecond);
   const auto apart = std::chrono::duration_cast<Duration>(std::chrono::duration<double>(1 / rate));
   const TimePoint next = std::max(queue.mPromised, aNow) + apart;
-  // Whoever is told of a later time has left by then, and its turn would be nobody's.
-  if (next - aNow <= mOptions.mMostAhead) {
+  // A caller with a later retry time has given up by then, and its reserved turn would go unused.
+  if (next - aNow <= mOptions.mMaxAhead) {
     queue.mPromised = next;
   }
   return next - aNow;
@@ -109,7 +110,7 @@
 RateLedger::Tick(TimePoint aNow)
 {
   for (auto it = mAccounts.begin(); it != mAccounts.end();) {
-    const bool old = aNow - it->second.mUsed >= mOptions.mForgetAfter;
+    const bool old = aNow - it->second.mUsed >= mOptions.mExpireAfter;
     it = old ? mAccounts.erase(it) : std::next(it);
   }
   for (auto it = mQueues.begin(); it != mQueues.end();) {
--- a/src/pepperbay/places/place_world.hpp
+++ b/src/pepperbay/places/slot_simulation.hpp
@@ -1,9 +1,9 @@
 /// @file
-/// @brief Place agents of several nodes on a wire of the test's own, for their tests.
+/// @brief Simulates slot agents of several nodes and the network between them; for tests.
 #pragma once
 
 #include "pepperbay/base/hash.hpp"
-#include "pepperbay/places/place_agent.hpp"
+#include "pepperbay/places/slot_agent.hpp"
 
 #include <deque>
 #include <gtest/gtest.h>
@@ -17,25 +17,25 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-/// Agents of several nodes before replicas of one model, and the messages between them.
-class PlaceWorld
+/// Agents of several nodes, replicas of one model, and the messages between the agents.
+class SlotSimulation
 {
 public:
-  static constexpr int kSlots = 4; ///< of a replica, unless a test says otherwise
+  static constexpr int kSlots = 4; ///< slots of a replica, unless a test sets another number
 
   struct Node
   {
     std::string mName;
     std::string mDataCentre;
     std::unique_ptr<Balancer> mBalancer;
-    std::unique_ptr<PlaceAgent> mAgent;
+    std::unique_ptr<SlotAgent> mAgent;
     bool mAlive = true;
-    bool mStands = false;            ///< does nothing for now; what comes is heard later
-    bool mKeepsPlan = false;         ///< goes on by its plan, whatever is published
-    std::vector<std::string> mDesks; ///< that it sees, best first; empty: those of its data centre
+    bool mFrozen = false;                 ///< processes nothing; messages arrive later
+    bool mIgnoresPlans = false;           ///< ignores newly published plans
+    std::vector<std::string> mAllocators; ///< best first; empty: those of its data centre
   };
 
-  explicit PlaceWorld(int aSlots = kSlots)
+  explicit SlotSimulation(int aSlots = kSlots)
   {
     Configuration configuration;
     configuration.mVersion = 1;
@@ -62,7 +62,7 @@
     }
   }
 
-  /// One engine of the plain service in a data centre.
+  /// Add an engine of the plain service in a data centre.
   void AddPlainEngine(const std::string& aId, const std::string& aDataCentre)
   {
     mPlainEngines.push_back({ aId, "10.0.0.2:80", aDataCentre });
@@ -78,12 +78,12 @@
     balancer.mDataCentre = aDataCentre;
     balancer.mSeed = Hash64(aName);
     node.mBalancer = std::make_unique<Balancer>(balancer);
-    PlaceAgentOptions options;
+    SlotAgentOptions options;
     options.mNode = aName;
     options.mIncarnation = 7;
     options.mDataCentre = aDataCentre;
     options.mAddress = aName;
-    PlaceAgentHooks hooks;
+    SlotAgentHooks hooks;
     hooks.mNow = mClock.Hook();
     hooks.mSend = [this, aName](const std::string& aAddress, const std::string& aBytes) {
       ++mSent;
@@ -94,17 +94,17 @@
         mLate.push_back({ mClock.Now() + late, aAddress, aBytes });
         return;
       }
-      mOnTheWay.emplace_back(aAddress, aBytes);
-      if (mAtOnce) {
+      mInTransit.emplace_back(aAddress, aBytes);
+      if (mDeliversAtOnce) {
         Deliver();
       }
     };
-    node.mAgent = std::make_unique<PlaceAgent>(options, hooks, node.mBalancer.get());
+    node.mAgent = std::make_unique<SlotAgent>(options, hooks, node.mBalancer.get());
     return node;
   }
 
-  /// Give every node the plan: the named desk finds places, of its data centre.
-  void Publish(const std::map<std::string, std::vector<std::string>>& aDesks)
+  /// Publish a plan to every node, with the allocators of each data centre, best first.
+  void Publish(const std::map<std::string, std::vector<std::string>>& aAllocators)
   {
     for (auto& it : mNodes) {
       TrafficPlan plan;
@@ -113,14 +113,15 @@
       plan.mReplicas["pool"] = mReplicas;
       plan.mEngines["plain"] = mPlainEngines;
       plan.mNodes = static_cast<int>(mNodes.size());
-      const auto& desks = it.mDesks.empty() ? aDesks.at(it.mDataCentre) : it.mDesks;
-      plan.mIsDesk = desks.front() == it.mName;
-      for (const auto& desk : desks) {
-        if (desk != it.mName) {
-          plan.mDesks.push_back({ desk, desk });
+      const auto& allocators =
+        it.mAllocators.empty() ? aAllocators.at(it.mDataCentre) : it.mAllocators;
+      plan.mIsDesk = allocators.front() == it.mName;
+      for (const auto& allocator : allocators) {
+        if (allocator != it.mName) {
+          plan.mDesks.push_back({ allocator, allocator });
         }
       }
-      for (const auto& [centre, others] : aDesks) {
+      for (const auto& [centre, others] : aAllocators) {
         if (plan.mIsDesk && centre != it.mDataCentre) {
           plan.mDesksOf[centre] = { others.front(), others.front() };
         }
@@ -131,13 +132,13 @@
         }
       }
       plan.mListedNodes = plan.mNodes;
-      if (it.mAlive && !it.mStands && !it.mKeepsPlan) {
+      if (it.mAlive && !it.mFrozen && !it.mIgnoresPlans) {
         it.mAgent->SetPlan(std::make_shared<TrafficPlan>(std::move(plan)));
       }
     }
   }
 
-  /// Deliver what is on its way, and what that leads to.
+  /// Deliver all messages that are due, and the messages sent in reply.
   void Deliver()
   {
     for (std::size_t n = mLate.size(); n > 0; --n) {
@@ -146,17 +147,17 @@
       if (mClock.Now() < late.mAt) {
         mLate.push_back(std::move(late));
       } else {
-        mOnTheWay.emplace_back(late.mAddress, late.mBytes);
+        mInTransit.emplace_back(late.mAddress, late.mBytes);
       }
     }
-    while (!mOnTheWay.empty()) {
-      const auto [address, bytes] = std::move(mOnTheWay.front());
-      mOnTheWay.pop_front();
+    while (!mInTransit.empty()) {
+      const auto [address, bytes] = std::move(mInTransit.front());
+      mInTransit.pop_front();
       for (auto& it : mNodes) {
         if (it.mName != address || !it.mAlive) {
           continue;
         }
-        if (it.mStands) {
+        if (it.mFrozen) {
           mLate.push_back({ mClock.Now() + milliseconds(20), address, bytes });
         } else {
           it.mAgent->OnMessage(bytes);
@@ -178,43 +179,43 @@
     }
   }
 
-  /// Ask for a place and wait for the answer.
-  Place Ask(Node& aNode, const PlaceRequest& aRequest)
+  /// Ask for a slot and wait for the answer.
+  SlotResult Ask(Node& aNode, const SlotRequest& aRequest)
   {
-    Place place;
+    SlotResult result;
     bool done = false;
-    aNode.mAgent->Ask(aRequest, [&](const Place& aPlace) {
+    aNode.mAgent->Ask(aRequest, [&](const SlotResult& aResult) {
       EXPECT_FALSE(done) << "answered twice";
       done = true;
-      place = aPlace;
+      result = aResult;
     });
     Deliver();
     for (int i = 0; i < 10 && !done; ++i) {
       Run(milliseconds(20));
     }
     EXPECT_TRUE(done);
-    return place;
+    return result;
   }
 
-  Place Ask(Node& aNode)
+  SlotResult Ask(Node& aNode)
   {
-    PlaceRequest request;
+    SlotRequest request;
     request.mService = "pool";
     request.mModel = "m";
     return Ask(aNode, request);
   }
 
-  int InProgress(Node& aDesk, const std::string& aHead) const
+  int InProgress(Node& aAllocator, const std::string& aHead) const
   {
-    const auto& own = aDesk.mBalancer->Own();
+    const auto& own = aAllocator.mBalancer->Own();
     const auto it = own.find(aHead);
     return it == own.end() ? 0 : it->second;
   }
 
-  int InProgress(Node& aDesk) const
+  int InProgress(Node& aAllocator) const
   {
     int n = 0;
-    for (const auto& [head, count] : aDesk.mBalancer->Own()) {
+    for (const auto& [head, count] : aAllocator.mBalancer->Own()) {
       n += count;
     }
     return n;
@@ -227,7 +228,7 @@
     std::string mBytes;
   };
 
-  /// Who counts the requests to engines with a limit.
+  /// The node that counts requests to engines with a limit.
   struct Counting
   {
     std::string mNode;
@@ -235,17 +236,17 @@
   };
 
   ManualClock mClock;
-  std::map<std::string, Counting> mCounting; ///< by data centre; in force with the next plan
+  std::map<std::string, Counting> mCounting; ///< by data centre; published with the next plan
   std::shared_ptr<const RouteTable> mRoutes;
   std::vector<PoolReplica> mReplicas;
   std::vector<EngineTarget> mPlainEngines;
   std::deque<Node> mNodes;
-  std::deque<std::pair<std::string, std::string>> mOnTheWay; ///< address and bytes
+  std::deque<std::pair<std::string, std::string>> mInTransit; ///< address and bytes
   std::deque<Late> mLate;
   std::function<bool(const std::string& aFrom, const std::string& aTo)> mLoses;
-  std::function<Duration()> mDelays; ///< how late a message arrives; null: at once
+  std::function<Duration()> mDelays; ///< delay of a message; null: none
   int mSent = 0;
-  bool mAtOnce = false; ///< messages arrive within the call that sends them
+  bool mDeliversAtOnce = false; ///< messages arrive within the call that sends them
 };
 
 } // namespace pepperbay
--- a/src/pepperbay/relay/exchange.hpp
+++ b/src/pepperbay/relay/exchange.hpp
@@ -42,7 +42,7 @@
   AttemptTarget mTarget;
   std::string mGroup;       ///< target replica; empty for an engine of a plain service
   std::uint64_t mEpoch = 0; ///< epoch of that replica
-  PlaceTicket mTicket;
+  SlotTicket mTicket;
   RateGrant mRate;
   TimePoint mSentAt{};
   std::optional<TimePoint> mHeadAt; ///< when the answer began: the engine runs the request
@@ -114,11 +114,11 @@
   void AllocateAndSend(bool aAgain, const OnNoTarget& aOtherwise);
   /// The same, after the retry budget of a plain service was drawn on.
   void SelectAndSend(bool aAgain, const OnNoTarget& aOtherwise);
-  PlaceRequest MakeSlotRequest(bool aAgain) const;
+  SlotRequest MakeSlotRequest(bool aAgain) const;
   /// Requests a slot in a pool. If the pool's share of the retry budget is used up, the retry is
   /// requested from the node that holds the rest of the budget.
-  void RequestSlot(bool aAgain, PlaceAgent::Done aDone);
-  static EngineDispatch DispatchTo(const Place& aPlace);
+  void RequestSlot(bool aAgain, SlotAgent::Done aDone);
+  static EngineDispatch DispatchTo(const SlotResult& aPlace);
   /// @return a dispatch to an engine of a plain service; none if no engine is available.
   std::optional<EngineDispatch> ChooseEngine() const;
   /// @return the engine of the stale connection, as listed in the plan, until the request is sent
@@ -139,7 +139,7 @@
   /// @return whether an engine outside this set could take the request, as far as this node knows.
   bool HasTargetExcluding(const std::set<std::string>& aExcluded) const;
   /// @return whether the request may be sent to the engine of a granted slot.
-  bool IsUsable(const Place& aPlace) const;
+  bool IsUsable(const SlotResult& aPlace) const;
   /// @return whether another engine could take the request, as far as this node knows.
   bool HasTarget() const;
   /// @return whether the retry budget allows another attempt.
--- a/src/pepperbay/relay/exchange_hedge.cpp
+++ b/src/pepperbay/relay/exchange_hedge.cpp
@@ -154,9 +154,9 @@
 {
   mHedgePending = true;
   RequestSlot(true,
-              [self = shared_from_this(), serial = mCurrent.mSerial, aReason](const Place& aPlace) {
+              [self = shared_from_this(), serial = mCurrent.mSerial, aReason](const SlotResult& aPlace) {
                 self->mHedgePending = false;
-                if (aPlace.mOutcome != PlaceOutcome::kGranted) {
+                if (aPlace.mOutcome != SlotOutcome::kGranted) {
                   self->CountRefusedMove(ToString(aPlace.mOutcome));
                   self->mHedgeNotBefore = self->mCore->Now() + kSlotRetryDelay;
                   return;
@@ -167,7 +167,7 @@
                 }
                 if (!self->IsUsable(aPlace)) {
                   self->mCore->mPlaces.End(aPlace.mTicket);
-                  self->CountRefusedMove(ToString(PlaceOutcome::kNoReplica));
+                  self->CountRefusedMove(ToString(SlotOutcome::kNoReplica));
                   self->mHedgeNotBefore = self->mCore->Now() + kSlotRetryDelay;
                   return;
                 }
--- a/src/pepperbay/relay/exchange_limits.cpp
+++ b/src/pepperbay/relay/exchange_limits.cpp
@@ -34,7 +34,7 @@
     return;
   }
   std::string how = mSent == 0 ? "first" : mStreamStarted ? "resumed" : "second";
-  how += aDispatch.mTicket.mDesk.empty() ? "_alone" : "_by_desk";
+  how += aDispatch.mTicket.mAllocator.empty() ? "_alone" : "_by_desk";
   ++mCore->mCounters.mSentToLimited[how];
 }
 
--- a/src/pepperbay/relay/exchange_log.cpp
+++ b/src/pepperbay/relay/exchange_log.cpp
@@ -67,7 +67,7 @@
   auto& fields = *aFields;
   fields["group"] = aDispatch.mGroup;
   fields["epoch"] = std::to_string(aDispatch.mEpoch);
-  fields["desk"] = aDispatch.mTicket.mDesk;
+  fields["desk"] = aDispatch.mTicket.mAllocator;
   fields["in_flight"] = std::to_string(mCore->mBalancer.InFlight(plan, aDispatch.mTarget.mEngine));
   fields["head_silent_ms"] = Millis(mCore->mStalls.Silence(aDispatch.mTarget.mEngine, now));
   if (aDispatch.mWriting) {
--- a/src/pepperbay/relay/exchange_sending.cpp
+++ b/src/pepperbay/relay/exchange_sending.cpp
@@ -64,18 +64,18 @@
   return dispatch;
 }
 
-PlaceRequest
+SlotRequest
 Exchange::MakeSlotRequest(bool aAgain) const
 {
-  PlaceRequest request;
+  SlotRequest request;
   request.mService = mService->mName;
   request.mTried = ExcludedEngines();
   // A retry gets the highest urgency, since it has waited already.
   request.mClaimant = { aAgain ? 0 : std::clamp(mPriority, 0, kLeastUrgent), ShortId(mCustomer) };
-  request.mAgain = aAgain;
+  request.mSecondAttempt = aAgain;
   if (!mService->mPool) {
     request.mOnce = !mRoute->Repeatable();
-    request.mDrawn = aAgain; // AllocateAndSend() has drawn on the budget
+    request.mBudgetDrawn = aAgain; // AllocateAndSend() has drawn on the budget
     return request;
   }
   const EnginePool& pool = *mService->mPool;
@@ -90,12 +90,12 @@
 }
 
 void
-Exchange::RequestSlot(bool aAgain, PlaceAgent::Done aDone)
+Exchange::RequestSlot(bool aAgain, SlotAgent::Done aDone)
 {
   mCore->mPlaces.Ask(
     MakeSlotRequest(aAgain),
-    [self = shared_from_this(), done = std::move(aDone)](const Place& aPlace) {
-      if (aPlace.mOutcome != PlaceOutcome::kNoBudget || self->mPhase == Phase::kFinished) {
+    [self = shared_from_this(), done = std::move(aDone)](const SlotResult& aPlace) {
+      if (aPlace.mOutcome != SlotOutcome::kNoBudget || self->mPhase == Phase::kFinished) {
         done(aPlace);
         return;
       }
@@ -104,15 +104,15 @@
           done(aPlace);
           return;
         }
-        PlaceRequest request = self->MakeSlotRequest(true);
-        request.mDrawn = true;
+        SlotRequest request = self->MakeSlotRequest(true);
+        request.mBudgetDrawn = true;
         self->mCore->mPlaces.Ask(request, done);
       });
     });
 }
 
 EngineDispatch
-Exchange::DispatchTo(const Place& aPlace)
+Exchange::DispatchTo(const SlotResult& aPlace)
 {
   EngineDispatch dispatch;
   dispatch.mTarget = {
@@ -138,7 +138,7 @@
       return; // the caller has disconnected
     }
     if (!aGranted) {
-      aOtherwise(ToString(PlaceOutcome::kNoBudget));
+      aOtherwise(ToString(SlotOutcome::kNoBudget));
       return;
     }
     self->SelectAndSend(true, aOtherwise);
@@ -158,20 +158,20 @@
     return;
   }
   mPhase = Phase::kAwaitingSlot;
-  RequestSlot(aAgain, [self = shared_from_this(), aOtherwise](const Place& aPlace) {
+  RequestSlot(aAgain, [self = shared_from_this(), aOtherwise](const SlotResult& aPlace) {
     if (self->mPhase == Phase::kFinished) {
       self->mCore->mPlaces.End(aPlace.mTicket); // the caller has disconnected
       return;
     }
-    self->mAllFull = aPlace.mOutcome == PlaceOutcome::kFull;
+    self->mAllFull = aPlace.mOutcome == SlotOutcome::kFull;
     self->mRateLimitedFor = aPlace.mRetryAfter;
-    if (aPlace.mOutcome != PlaceOutcome::kGranted) {
+    if (aPlace.mOutcome != SlotOutcome::kGranted) {
       aOtherwise(ToString(aPlace.mOutcome));
       return;
     }
     if (!self->IsUsable(aPlace)) {
       self->mCore->mPlaces.End(aPlace.mTicket);
-      aOtherwise(ToString(PlaceOutcome::kNoReplica));
+      aOtherwise(ToString(SlotOutcome::kNoReplica));
       return;
     }
     self->SendToEngine(DispatchTo(aPlace));
@@ -256,7 +256,7 @@
 }
 
 bool
-Exchange::IsUsable(const Place& aPlace) const
+Exchange::IsUsable(const SlotResult& aPlace) const
 {
   return MayTryNewEngine() || RepeatableEngines().count(aPlace.mHead.mId) != 0;
 }
--- a/src/pepperbay/relay/exchange_suspect.cpp
+++ b/src/pepperbay/relay/exchange_suspect.cpp
@@ -24,7 +24,7 @@
   for (const auto& it : mParts) {
     const SuspectRequest part = mCore->SuspectOf(it.mKey);
     suspected.mScore = std::max(suspected.mScore, part.mScore);
-    suspected.mHeldUntil = std::max(suspected.mHeldUntil, part.mHeldUntil);
+    suspected.mQuarantinedUntil = std::max(suspected.mQuarantinedUntil, part.mQuarantinedUntil);
   }
   return suspected;
 }
@@ -32,7 +32,7 @@
 Duration
 Exchange::QuarantineTimeLeft() const
 {
-  return std::max(Suspected().mHeldUntil - mCore->Now(), Duration::zero());
+  return std::max(Suspected().mQuarantinedUntil - mCore->Now(), Duration::zero());
 }
 
 bool
@@ -144,7 +144,7 @@
     DropHedge("held_back", mHedge->mAttempt->MayHaveRun());
   }
   const auto& headAt = mCurrent.mHeadAt;
-  const bool byPart = mCore->SuspectOf(mKey).mHeldUntil <= mCore->Now();
+  const bool byPart = mCore->SuspectOf(mKey).mQuarantinedUntil <= mCore->Now();
   const Duration most = byPart ? Duration(kPartProvenAfter) : mCore->mOptions.mSuspectWithin;
   const bool proven = headAt && mCore->Now() - *headAt > most;
   if (proven || mHedge) {
--- a/src/pepperbay/relay/exit_probe.cpp
+++ b/src/pepperbay/relay/exit_probe.cpp
@@ -20,7 +20,7 @@
 void
 ExitProbe::OnInterrupted(const AttemptTarget& aEngine, InterruptedRequest aRequest)
 {
-  Pending& pending = mPending[EngineStartHash(aEngine.mEngine, aEngine.mBorn)];
+  Pending& pending = mPending[EngineIncarnationHash(aEngine.mEngine, aEngine.mBorn)];
   if (pending.mRequests.empty()) {
     pending.mTarget = aEngine;
     pending.mProbeAt = mNow() + kProbeDelay;
--- a/src/pepperbay/relay/exit_probe.hpp
+++ b/src/pepperbay/relay/exit_probe.hpp
@@ -10,7 +10,7 @@
 
 #include "attempt.hpp"
 #include "connection_pool.hpp"
-#include "pepperbay/quarantine/crash_book.hpp"
+#include "pepperbay/quarantine/crash_tracker.hpp"
 
 #include <functional>
 #include <map>
@@ -74,7 +74,7 @@
   ConnectionPool* mPool;
   OnFound mOnExited;
   OnFound mOnAlive;
-  std::map<std::uint64_t, Pending> mPending; ///< by EngineStartHash()
+  std::map<std::uint64_t, Pending> mPending; ///< by EngineIncarnationHash()
 };
 
 } // namespace pepperbay
--- a/src/pepperbay/relay/relay_core.cpp
+++ b/src/pepperbay/relay/relay_core.cpp
@@ -24,10 +24,10 @@
   return options;
 }
 
-PlaceAgentOptions
+SlotAgentOptions
 PlaceOptionsOf(const RelayOptions& aOptions)
 {
-  PlaceAgentOptions options;
+  SlotAgentOptions options;
   options.mNode = aOptions.mNode;
   options.mIncarnation = aOptions.mIncarnation;
   options.mDataCentre = aOptions.mDataCentre;
@@ -80,7 +80,7 @@
   , mPlaces(PlaceOptionsOf(mOptions),
             { mOptions.mNow,
               mHooks.mSendToAllocator,
-              [this](const LimitNews& aNews) { OnLimit(aNews); },
+              [this](const LimitUpdate& aNews) { OnLimit(aNews); },
               [this](const proto::PlaceMessage& aMessage) { mRetries.OnMessage(aMessage); } },
             &mBalancer)
   , mRetries(RetryOptionsOf(mOptions), { mOptions.mNow, mHooks.mSendToAllocator })
@@ -126,8 +126,8 @@
       [this](const std::string& aPeer) { return !aPeer.empty() && !mConnector.IsPeer(aPeer); });
   }
   const RetryKeeperPlan& keeper = mPlan->mRetryKeeper;
-  const KeeperRight right =
-    keeper.mOwn ? KeeperRight{ keeper.mOwn->mSince, keeper.mOwn->mUntil } : KeeperRight{};
+  const RetryBudgetLease right =
+    keeper.mOwn ? RetryBudgetLease{ keeper.mOwn->mSince, keeper.mOwn->mUntil } : RetryBudgetLease{};
   mRetries.SetFleet({ keeper.mAddress, right, mPlan->mListedNodes });
 }
 
@@ -187,7 +187,7 @@
 void
 RelayCore::OnRequestCompleted(const RequestKey& aKey)
 {
-  mRuns.OnRun(aKey, Now());
+  mRuns.OnCompletion(aKey, Now());
   ReportCompleted(aKey);
 }
 
@@ -195,7 +195,7 @@
 RelayCore::OnPartsCompleted(const std::vector<PromptPart>& aParts)
 {
   for (const auto& it : aParts) {
-    mPartRuns.OnRun(it.mKey, Now());
+    mPartRuns.OnCompletion(it.mKey, Now());
     ReportCompleted(it.mKey);
   }
 }
@@ -212,7 +212,7 @@
 RelayCore::ClearCompletedSuspects(const SuspectRequests& aSuspects)
 {
   for (const auto& [key, suspect] : aSuspects) {
-    const bool ran = mRuns.HasRun(key, Now()) || mPartRuns.HasRun(key, Now());
+    const bool ran = mRuns.HasCompleted(key, Now()) || mPartRuns.HasCompleted(key, Now());
     if (ran && mHooks.mOnSuspectCompleted) {
       mHooks.mOnSuspectCompleted(key);
     }
@@ -224,7 +224,7 @@
                           const std::vector<InterruptedRequest>& aRequests)
 {
   ++mCounters.mEnginesExited;
-  const std::uint64_t start = EngineStartHash(aEngine.mEngine, aEngine.mBorn);
+  const std::uint64_t start = EngineIncarnationHash(aEngine.mEngine, aEngine.mBorn);
   const bool head = std::any_of(aRequests.begin(),
                                 aRequests.end(),
                                 [](const InterruptedRequest& aIt) { return aIt.mOfReplica; });
@@ -232,7 +232,7 @@
     OnHeadNotListening(aEngine.mEngine, aRequests.front().mAt);
   }
   for (const auto& it : aRequests) {
-    const bool ran = mRuns.HasRun(it.mKey, Now());
+    const bool ran = mRuns.HasCompleted(it.mKey, Now());
     Log("engine_ended",
         { { "engine", aEngine.mEngine },
           { "request", it.mRequest },
@@ -250,9 +250,9 @@
 }
 
 void
-RelayCore::ChargeExit(const RecentRuns& aRuns, const RequestKey& aKey, const EngineEnd& aEnd)
+RelayCore::ChargeExit(const RecentCompletions& aRuns, const RequestKey& aKey, const EngineEnd& aEnd)
 {
-  if (!aRuns.HasRun(aKey, Now()) && mHooks.mOnEngineExited) {
+  if (!aRuns.HasCompleted(aKey, Now()) && mHooks.mOnEngineExited) {
     mHooks.mOnEngineExited(aKey, aEnd);
   }
 }
@@ -277,7 +277,7 @@
 }
 
 void
-RelayCore::OnLimit(const LimitNews& aNews)
+RelayCore::OnLimit(const LimitUpdate& aNews)
 {
   mCounters.mLimitedEngines = mBalancer.Limits().Limited();
   const EngineTarget* engine = mPlan ? FindEngine(*mPlan, aNews.mEngine) : nullptr;
--- a/src/pepperbay/relay/relay_core.hpp
+++ b/src/pepperbay/relay/relay_core.hpp
@@ -5,7 +5,7 @@
 #include "connection_pool.hpp"
 #include "engine_connector.hpp"
 #include "exit_probe.hpp"
-#include "pepperbay/quarantine/recent_runs.hpp"
+#include "pepperbay/quarantine/recent_completions.hpp"
 #include "pepperbay/relay/relay.hpp"
 #include "pepperbay/retries/retry_agent.hpp"
 
@@ -41,7 +41,7 @@
   void ReportCompleted(const RequestKey& aKey);
   /// Counts an engine's exit against a request or prompt part that it had, unless that was
   /// completed recently.
-  void ChargeExit(const RecentRuns& aRuns, const RequestKey& aKey, const EngineEnd& aEnd);
+  void ChargeExit(const RecentCompletions& aRuns, const RequestKey& aKey, const EngineEnd& aEnd);
   /// Clears the suspects that were recently completed at this node. Other nodes have seen only the
   /// exits.
   void ClearCompletedSuspects(const SuspectRequests& aSuspects);
@@ -62,7 +62,7 @@
   /// @return engines that may be connected to in order to test the network path.
   std::vector<AttemptTarget> EnginesToProbe() const;
   /// An engine's rate limit, as known to this node, has changed.
-  void OnLimit(const LimitNews& aNews);
+  void OnLimit(const LimitUpdate& aNews);
   /// @return the rate limits in the answers of the current engine processes.
   EngineLimits Limits() const;
   void Log(const char* aEvent, const std::map<std::string, std::string>& aFields) const;
@@ -73,15 +73,15 @@
   RelayHooks mHooks;
   std::shared_ptr<const TrafficPlan> mPlan;
   Balancer mBalancer;
-  PlaceAgent mPlaces;
+  SlotAgent mPlaces;
   StallDetector mStalls;
   RefusalBook mUnreachableHeads; ///< heads that no longer listen and were reported
   RetryAgent mRetries; ///< retry budget of plain services; slots are requested through mPlaces
   ConnectionPool mConnections;
   EngineConnector mConnector;
   ExitProbe mExitProbe;
-  RecentRuns mRuns;
-  RecentRuns mPartRuns; ///< prompt parts; in mRuns the more numerous requests would evict them
+  RecentCompletions mRuns;
+  RecentCompletions mPartRuns; ///< prompt parts; in mRuns the more numerous requests would evict them
   RelayCounters mCounters;
   std::set<std::shared_ptr<Session>> mSessions;
   std::set<std::shared_ptr<Exchange>> mExchanges;
