--- a/include/pepperbay/admission/admission.hpp
+++ b/include/pepperbay/admission/admission.hpp
@@ -1,9 +1,9 @@
 /// @file
-/// @brief Who runs, who waits and who is refused, for one pool of replicas as one node sees it.
+/// @brief Admission control for one pool of replicas at one node: run, queue or refuse.
 ///
-/// A customer's share is of the pool, not of a node: nodes tell each other what each customer runs,
-/// and each node counts those figures beside its own. What a customer leaves unused is lent and
-/// comes back as lent requests end. Pure: ids and times in, decisions out.
+/// A customer's share is of the whole pool, not of a node: nodes exchange the number of requests
+/// that each customer runs, and each node adds those figures to its own. Unused share is lent to
+/// other customers and returns as lent requests end. Pure: ids and times in, decisions out.
 #pragma once
 
 #include "pepperbay/base/clock.hpp"
@@ -17,32 +17,35 @@
 
 struct AdmissionOptions
 {
-  std::size_t mQueue = 512; ///< requests that may wait here
-  /// A request whose turn is expected to come later than this is refused, also long before its
-  /// deadline: a queue that is longer than a burst only adds its length to every answer. The first
-  /// in the queue waits on, or a pool of few slots would have no queue at all.
+  std::size_t mQueue = 512; ///< queue limit: requests that may wait at this node
+  /// A request with a longer expected wait is refused, even long before its deadline: a queue
+  /// longer than a burst only adds its length to every answer. The first request in the queue is
+  /// exempt; otherwise a pool with few slots would have no queue at all.
   Duration mLongestWait = std::chrono::milliseconds(500);
-  Duration mAgeOneLevel = std::chrono::seconds(5); ///< a wait that raises priority by one level
-  Duration mFirstServiceGuess = std::chrono::seconds(5); ///< service time before any is measured
-  double mDefaultShare = 0.05;                           ///< of customers that no document names
+  Duration mAgeOneLevel =
+    std::chrono::seconds(5); ///< waiting this long raises the priority by one level
+  Duration mFirstServiceGuess =
+    std::chrono::seconds(5);   ///< service time assumed before any is measured
+  double mDefaultShare = 0.05; ///< for customers without a configured share
 };
 
-/// One customer's work at other nodes, added up.
+/// Requests of one customer, summed over nodes.
 struct CustomerUsage
 {
   std::size_t mRunning = 0;
   std::size_t mWaiting = 0;
 };
 
-/// What the pool looks like from here, told by the control thread.
+/// This node's view of the pool, set by the control thread.
 struct PoolState
 {
-  std::size_t mSlots = 0;       ///< requests that all whole replicas of the pool run at once
+  std::size_t mSlots = 0;       ///< concurrent requests of all replicas whose members are all up
   std::size_t mNodes = 1;       ///< nodes that serve this pool, this one included
-  std::size_t mSilentNodes = 0; ///< of them, those not heard that may still be working
-  std::map<std::string, double> mShares;        ///< customer to share of the pool, 0 to 1
-  std::map<std::string, CustomerUsage> mOthers; ///< customer to its work at the nodes heard
-  TimePoint mUsageAt{};                         ///< when `mOthers` was last told
+  std::size_t mSilentNodes = 0; ///< of these, nodes without recent reports that may still serve
+  std::map<std::string, double> mShares; ///< customer to share of the pool, 0 to 1
+  std::map<std::string, CustomerUsage>
+    mOthers;            ///< customer to its usage at nodes with recent reports
+  TimePoint mUsageAt{}; ///< when `mOthers` was last updated
 };
 
 struct Arrival
@@ -64,17 +67,17 @@
 {
   AdmissionVerdict mVerdict = AdmissionVerdict::kRefuse;
   std::string mReason;       ///< for the caller, when refused
-  Duration mRetryAfter{ 0 }; ///< from the queue as measured, when refused
+  Duration mRetryAfter{ 0 }; ///< derived from the current queue, when refused
 };
 
-/// A waiting request that is given up, with the answer it gets now.
+/// A waiting request that is removed from the queue, with the refusal it is answered with.
 struct GivenUp
 {
   std::uint64_t mId = 0;
   AdmissionDecision mDecision;
 };
 
-/// One pool's admission at one node. Not for several threads at once.
+/// Admission of one pool at one node. Not thread-safe.
 class Admission
 {
 public:
@@ -82,32 +85,34 @@
 
   void SetPool(PoolState aPool);
 
-  /// A request has come. One that cannot be done by its deadline is refused at once.
-  /// @param aGivenUp waiting requests that must make room for it are added here
+  /// Admits, queues or refuses a new request. A request that cannot finish by its deadline is
+  /// refused at once.
+  /// @param aGivenUp receives waiting requests that are evicted to make room for it
   AdmissionDecision Arrive(const Arrival& aArrival, TimePoint aNow, std::vector<GivenUp>* aGivenUp);
 
-  /// A running request has ended. @param aService how long it ran; zero when it says nothing
+  /// A running request has ended. @param aService its service time; zero: not to be averaged in
   void OnDone(std::uint64_t aId, Duration aService);
 
-  /// A waiting request's caller has gone.
+  /// The caller of a waiting request has disconnected.
   void OnGone(std::uint64_t aId);
 
-  /// @return waiting requests that may run now, in order.
+  /// Starts waiting requests while slots are available. @return their ids, in order.
   std::vector<std::uint64_t> Next(TimePoint aNow);
 
-  /// @return waiting requests that can no longer be in time.
+  /// Removes waiting requests that can no longer finish in time. @return them with their refusals.
   std::vector<GivenUp> Hopeless(TimePoint aNow);
 
-  /// This node's work by customer, for the heartbeat.
+  /// This node's usage by customer, sent in its heartbeat.
   std::map<std::string, CustomerUsage> Usage() const;
 
   std::size_t Running() const { return mRunning.size(); }
   std::size_t Waiting() const { return mWaiting.size(); }
 
-  /// @return the part of the pool's slots in use, here and at the nodes heard; 1 when all are.
+  /// @return the fraction of the pool's slots in use, here and at nodes with recent reports, 0
+  /// to 1.
   double Fullness() const;
 
-  /// @return requests that this node may have running at once now.
+  /// @return the number of requests that this node may run concurrently now.
   std::size_t Allowance() const;
 
 private:
@@ -137,7 +142,7 @@
   AdmissionOptions mOptions;
   PoolState mPool;
   std::size_t mOthersRunning = 0;
-  std::size_t mBase = 0; ///< own requests running when the others' usage was last told
+  std::size_t mBase = 0; ///< own requests running when the others' usage was last updated
   std::map<std::uint64_t, std::string> mRunning;
   std::map<std::string, std::size_t> mOwnRunning;
   std::vector<Waiter> mWaiting;
--- a/include/pepperbay/admission/connection_gate.hpp
+++ b/include/pepperbay/admission/connection_gate.hpp
@@ -1,13 +1,14 @@
 /// @file
-/// @brief Which new connections of callers a node takes up. Pure.
+/// @brief Decides which new client connections a node accepts. Pure.
 ///
-/// A balancer may send most new connections of a whole region to one node. What that node reads it
-/// has to serve, and what it reads beyond its strength comes late for all. A connection that is
-/// closed unread costs its caller one round trip, and the next try meets another node.
+/// An external load balancer may send most new connections of a whole region to one node. The node
+/// has to serve each request that it reads, and requests beyond its capacity delay all others. A
+/// connection that is closed unread costs its caller one round trip, and the retry reaches another
+/// node.
 ///
-/// What a request costs comes after it was read, so lag shows too late how many were too many. In a
-/// rush connections are therefore taken up at a rate that begins at a multiple of the usual one,
-/// grows while the thread keeps up and falls when it does not.
+/// The cost of a request arises after it was read, so thread lag shows overload too late. In a
+/// connection burst the acceptance rate therefore starts at a multiple of the usual rate, grows
+/// while the thread keeps up and falls while it lags.
 #pragma once
 
 #include "pepperbay/base/clock.hpp"
@@ -19,25 +20,26 @@
 
 struct ConnectionGateOptions
 {
-  /// A thread that is later than this, averaged, has no time for more.
+  /// Above this averaged lag the thread is overloaded.
   Duration mMostLag = std::chrono::milliseconds(30);
-  /// A rush is so many times the usual rate. Below, a node that is late for another reason serves
-  /// its own callers on.
+  /// A burst is at least this multiple of the usual rate. Below it, a node that lags for another
+  /// reason still accepts its usual callers.
   double mRushFrom = 3;
-  /// New connections a second; fewer are no rush. Callers that were cut off come back all at once.
+  /// New connections per second; a lower rate is never a burst, since callers whose connections
+  /// were cut reconnect all at once.
   double mLeastRush = 200;
-  double mFirstRate = 8;    ///< times the usual rate, taken at first in a rush
-  double mLeastFirst = 100; ///< a second; the same where the usual rate is low
-  double mLeastRate = 20;   ///< a second, taken whatever the lag
-  double mGrowth = 1.02;    ///< of the rate in a rush, while the thread keeps up
-  double mFall = 0.8;       ///< of that rate, while it is late
+  double mFirstRate = 8;    ///< initial rate in a burst, as a multiple of the usual rate
+  double mLeastFirst = 100; ///< per second; lower bound of the initial rate
+  double mLeastRate = 20;   ///< per second, accepted whatever the lag
+  double mGrowth = 1.02;    ///< factor per control period while the thread keeps up
+  double mFall = 0.8;       ///< factor per control period while it lags
   Duration mControlEvery = std::chrono::milliseconds(200);
-  Duration mUsualOver = std::chrono::seconds(20); ///< over which a rate becomes the usual one
-  std::size_t mMostOpen = 4096;                   ///< connections; see MostCallers()
+  Duration mUsualOver = std::chrono::seconds(20); ///< averaging time of the usual rate
+  std::size_t mMostOpen = 4096;                   ///< open connections; see MostCallers()
 };
 
-/// @return the connections of callers that a process may have that may open so many files: each
-/// request takes one more, to an engine.
+/// @return the number of client connections that a process with this limit of file descriptors may
+/// hold: each request needs a second descriptor for its connection to an engine.
 std::size_t
 MostCallers(std::size_t aDescriptors);
 
@@ -50,14 +52,15 @@
 public:
   explicit ConnectionGate(ConnectionGateOptions aOptions = {});
 
-  /// @param aLag how late the thread is that serves the connections, averaged
+  /// @param aLag averaged lag of the thread that serves the connections
   void OnTick(Duration aLag, TimePoint aNow);
   /// @param aOpen connections that are open
+  /// @return whether to accept a new connection
   bool Takes(std::size_t aOpen, TimePoint aNow);
   double UsualPerSecond() const { return mUsual; }
 
 private:
-  static constexpr std::size_t kPeriods = 5; ///< of control, over which a rush is seen
+  static constexpr std::size_t kPeriods = 5; ///< control periods over which a burst is detected
 
   void Control(TimePoint aNow);
   bool IsRush() const;
@@ -65,13 +68,13 @@
 
   ConnectionGateOptions mOptions;
   Duration mLag{ 0 };
-  double mUsual = 0;                      ///< a second
-  std::array<double, kPeriods> mCounts{}; ///< of the last periods of control, each its connections
-  std::size_t mPeriod = 0;                ///< the present one
-  double mRate = 0;                       ///< a second, taken in a rush; 0: none is on
-  double mTaken = 0;                      ///< in this period
+  double mUsual = 0;                      ///< per second
+  std::array<double, kPeriods> mCounts{}; ///< new connections in each of the last control periods
+  std::size_t mPeriod = 0;                ///< index of the current one
+  double mRate = 0;                       ///< per second, accepted in a burst; 0: no burst
+  double mTaken = 0;                      ///< accepted in this period
   TimePoint mPeriodFrom{};
-  TimePoint mSince{}; ///< the first look
+  TimePoint mSince{}; ///< the first tick
 };
 
 } // namespace pepperbay
--- a/include/pepperbay/admission/earned_retries.hpp
+++ b/include/pepperbay/admission/earned_retries.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Second attempts that a node's own requests have earned. Pure.
+/// @brief Retries that a node may make as a share of its own recent requests. Pure.
 #pragma once
 
 #include "pepperbay/base/clock.hpp"
@@ -8,8 +8,9 @@
 
 namespace pepperbay {
 
-/// Gives out at most a share of the requests of the last window. Nothing is saved beyond it, and a
-/// node that starts has earned nothing, so the sum over nodes holds however often they start.
+/// Grants retries up to a share of the requests of the last window. Nothing is carried over beyond
+/// the window, and a node starts with none, so the bound on the sum over all nodes holds however
+/// often nodes restart.
 ///
 /// @code
 /// earned.OnRequest(now);
@@ -29,11 +30,11 @@
   void SetOptions(Options aOptions) { mOptions = aOptions; }
   void OnRequest(TimePoint aNow);
   bool MayTake(TimePoint aNow);
-  /// @return whether there was one to take
+  /// Takes one retry. @return false if none is available
   bool Take(TimePoint aNow);
 
 private:
-  /// Counts of a short span.
+  /// Counts of one step of the sliding window.
   struct Step
   {
     TimePoint mBegin{};
--- a/include/pepperbay/admission/retry_budget.hpp
+++ b/include/pepperbay/admission/retry_budget.hpp
@@ -1,13 +1,15 @@
 /// @file
-/// @brief Retries as a share of traffic, so that a dark domain does not multiply the load.
+/// @brief Limits retries to a share of traffic, so that the outage of a fabric domain does not
+/// multiply the load.
 #pragma once
 
 namespace pepperbay {
 
-/// A bucket of retries that each request fills a little. Pure; not for several threads at once.
+/// A token bucket of retries that is refilled by requests. Pure; not thread-safe.
 ///
-/// Without it, every request to a dark domain is tried again on what is left, which doubles the
-/// load there just when capacity is lowest. One would notice attempts rising while answers fall.
+/// Without it, every request to a failed fabric domain is retried on the remaining replicas, which
+/// doubles their load when capacity is lowest. The symptom is that attempts rise while answers
+/// fall.
 ///
 /// @code
 /// RetryBudget budget({ 0.1, 10 });
@@ -20,17 +22,17 @@
   struct Options
   {
     double mShare = 0.1; ///< retries earned by one request
-    double mBurst = 10;  ///< most retries saved up; also what a quiet node starts with
+    double mBurst = 10;  ///< maximum number of saved retries; also the initial number
   };
 
   explicit RetryBudget(Options aOptions);
 
   void OnRequest();
-  /// @return whether one retry may be made now; it is then spent.
+  /// Takes one retry. @return false if none is left
   bool TakeRetry();
   double Left() const { return mLeft; }
-  /// The settings or the number of nodes that share the budget have changed. What is saved up
-  /// beyond the new most is gone.
+  /// Applies changed settings or a changed number of nodes that share the budget. Saved retries
+  /// above the new maximum are dropped.
   void SetOptions(Options aOptions);
 
 private:
--- a/include/pepperbay/admission/token_bucket.hpp
+++ b/include/pepperbay/admission/token_bucket.hpp
@@ -1,12 +1,12 @@
 /// @file
-/// @brief A rate as tokens that come evenly and are kept up to a depth. Pure.
+/// @brief Token bucket: tokens arrive at a constant rate and are kept up to a depth. Pure.
 #pragma once
 
 #include "pepperbay/base/clock.hpp"
 
 namespace pepperbay {
 
-/// What a bucket gives out in any span is at most its rate over that span, and its depth.
+/// In any interval a bucket grants at most its rate times the interval, plus its depth.
 ///
 /// @code
 /// TokenBucket bucket({ 3.0, 2.0 }, now);
@@ -18,23 +18,23 @@
   struct Options
   {
     double mPerSecond = 1;
-    double mDepth = 1; ///< tokens that are kept at most; at least 1, or none could be taken
+    double mDepth = 1; ///< maximum number of tokens; at least 1, or none could be taken
   };
 
-  /// A bucket starts empty: whoever had it before may have just spent what it held.
+  /// A bucket starts empty: its previous owner may have just spent all tokens.
   TokenBucket(Options aOptions, TimePoint aNow);
 
-  /// Another rate or depth from now on; what is there stays, up to the new depth.
+  /// Changes the rate and depth from now on. The level is kept, up to the new depth.
   void SetOptions(Options aOptions, TimePoint aNow);
   const Options& Current() const { return mOptions; }
 
   double Level(TimePoint aNow) const;
   bool IsFull(TimePoint aNow) const { return Level(aNow) >= mOptions.mDepth; }
-  /// @return whether there was a whole token to take
+  /// Takes one token. @return false if there is no whole token
   bool Take(TimePoint aNow);
-  /// Take a token that was spent without asking. The level falls to minus the depth at most.
+  /// Deducts a token that was spent without Take(). The level falls to minus the depth at most.
   void Spend(TimePoint aNow);
-  /// Drop what is there and count from now on.
+  /// Drops all tokens; the refill starts from now.
   void Empty(TimePoint aNow);
 
 private:
--- a/include/pepperbay/admission/turn_book.hpp
+++ b/include/pepperbay/admission/turn_book.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Who goes first where a rate is too small for all who ask. Pure.
+/// @brief Priority between customers where a rate limit is too small for all requests. Pure.
 #pragma once
 
 #include "pepperbay/base/clock.hpp"
@@ -10,23 +10,23 @@
 
 namespace pepperbay {
 
-/// On whose behalf something is asked for.
+/// The customer and urgency of a request.
 struct Claimant
 {
-  int mUrgency = 0;            ///< 0 is first
+  int mUrgency = 0;            ///< 0 is the most urgent
   std::uint32_t mCustomer = 0; ///< by ShortId()
 };
 
 struct TurnOptions
 {
-  /// Who was refused counts as waiting for so long: about the time after which callers come back.
+  /// A refused claimant counts as waiting for this long: about the time after which callers retry.
   Duration mWaits = std::chrono::seconds(1);
-  /// What a customer got counts against it for about so long.
+  /// Decay time of the count of what a customer was granted.
   Duration mMemory = std::chrono::seconds(5);
 };
 
-/// Who was refused lately and who got something. The more urgent go first; among equals the
-/// customer that has got less.
+/// Tracks recent refusals and grants. More urgent requests go first; at equal urgency, the customer
+/// that was granted less.
 ///
 /// @code
 /// if (turns.IsOutranked(claimant, now)) { turns.OnRefused(claimant, now); ... }
@@ -38,9 +38,9 @@
 
   void OnRefused(const Claimant& aClaimant, TimePoint aNow);
   void OnTaken(const Claimant& aClaimant, TimePoint aNow);
-  /// @return whether somebody who was refused lately goes before.
+  /// @return whether a recently refused claimant has precedence.
   bool IsOutranked(const Claimant& aClaimant, TimePoint aNow) const;
-  /// @return whether nothing is known any more.
+  /// @return whether no refusal or grant is remembered.
   bool IsEmpty(TimePoint aNow) const;
 
 private:
--- a/scripts/mutants/parts.sh
+++ b/scripts/mutants/parts.sh
@@ -16,7 +16,7 @@
 mutant "of equal causes one excuses the other" $s/quarantine/crash_book.cpp \
   's/if \(it.mBegun == best.mBegun\)/if (it.mRequest == best.mRequest)/' quarantine_crash_book_test '*EqualCauses*'
 mutant "a rush is taken whole" $s/admission/connection_gate.cpp \
-  's/if \(mTaken >= mRate .*/if (false) {/' admission_connection_gate_test '*Rush*'
+  's/if \(mTaken >= mRate .*/if (false) {/' admission_connection_gate_test '*Burst*'
 mutant "connections have no bound" $s/admission/connection_gate.cpp \
   's/if \(aOpen >= mOptions.mMostOpen\)/if (false)/' admission_connection_gate_test '*MayBeOpen*'
 mutant "interim answers have no bound" $s/relay/attempt.cpp \
--- a/src/pepperbay/admission/admission.cpp
+++ b/src/pepperbay/admission/admission.cpp
@@ -73,11 +73,11 @@
   return std::min(1.0, used / static_cast<double>(mPool.mSlots));
 }
 
-/// What is free in the pool is split evenly between the nodes until they hear of each other again;
-/// or all would fill the same free slots at once. Free means as of the last word: counted anew
-/// after each own start it would creep up to the whole pool. A node that is silent may still be
-/// working, so it counts with its even part: cut off from its peers, each node falls back to that
-/// safe part.
+/// Free slots are split evenly between the nodes until the next usage update; otherwise all nodes
+/// would fill the same free slots at once. Free slots are counted as of the last update: recounted
+/// after each own start, the allowance would creep up to the whole pool. A silent node may still be
+/// serving, so it is counted with its even share; a node that is partitioned from its peers falls
+/// back to its own even share, which is safe.
 std::size_t
 Admission::Allowance() const
 {
@@ -106,7 +106,7 @@
   return std::chrono::duration_cast<Duration>(std::chrono::duration<double>(mServiceSeconds));
 }
 
-/// Expected wait with so many requests ahead: they leave at the rate of the slots held here.
+/// Expected wait behind `aAhead` requests, which leave at the rate of the slots in use here.
 Duration
 Admission::WaitBehind(std::size_t aAhead) const
 {
@@ -261,8 +261,8 @@
   std::stable_sort(ranked.begin(), ranked.end(), [](const Ranked& aLeft, const Ranked& aRight) {
     return aLeft.mRank < aRight.mRank;
   });
-  // As soon as a request's turn would come too late, not when its deadline is near: its caller can
-  // then go elsewhere, and those behind it move up.
+  // A request is refused as soon as its expected start is too late, not when its deadline is near:
+  // its caller can try elsewhere, and the requests behind it move up.
   mWaiting.clear();
   for (auto& it : ranked) {
     const TimePoint turn = aNow + WaitBehind(mWaiting.size());
--- a/src/pepperbay/admission/admission_test.cpp
+++ b/src/pepperbay/admission/admission_test.cpp
@@ -43,7 +43,7 @@
     AdmissionOptions options;
     options.mQueue = aQueue;
     options.mFirstServiceGuess = seconds(1);
-    options.mLongestWait = std::chrono::hours(1); // what most tests look at is the deadline
+    options.mLongestWait = std::chrono::hours(1); // most tests check the deadline only
     return options;
   }
 
@@ -64,7 +64,7 @@
   EXPECT_EQ(desk.mAdmission.Next(desk.mClock.Now()), std::vector<std::uint64_t>{ 3 });
 }
 
-TEST(Admission, WhatIsLentComesBackAsSoonAsARequestEnds)
+TEST(Admission, ALentSlotReturnsAsSoonAsARequestEnds)
 {
   Desk desk(PoolOf(4, { { "flood", 0.5 }, { "cook", 0.5 } }));
   for (int i = 0; i < 20; ++i) {
@@ -74,10 +74,10 @@
   const std::uint64_t cook = desk.mLast;
   desk.mAdmission.OnDone(1, seconds(1));
   EXPECT_EQ(desk.mAdmission.Next(desk.mClock.Now()), std::vector<std::uint64_t>{ cook })
-    << "before those of the customer above its share, though they came first";
+    << "ahead of earlier requests of the customer above its share";
 }
 
-TEST(Admission, UrgentRequestsGoFirstAndNobodyStarves)
+TEST(Admission, UrgentRequestsGoFirstAndNoneStarves)
 {
   Desk desk(PoolOf(1, { { "a", 1.0 } }));
   desk.Arrive("a");
@@ -100,20 +100,19 @@
     desk.Arrive("a");
   }
   EXPECT_EQ(desk.Arrive("a", 5, seconds(3)), AdmissionVerdict::kRefuse);
-  EXPECT_GE(desk.mDecision.mRetryAfter, seconds(5)) << "from the queue as it is";
+  EXPECT_GE(desk.mDecision.mRetryAfter, seconds(5)) << "derived from the current queue";
   EXPECT_EQ(desk.Arrive("a", 5, seconds(30)), AdmissionVerdict::kWait);
 }
 
-/// Symptom: at 1.2 times capacity 84 in 100 answers are whole and 10 in 100 have their first token
-/// in time; refusals come after six seconds. Sequence: requests with generous deadlines fill the
-/// queue with several seconds of work, and whoever is served has waited through it. Cause: a queue
-/// as long as the deadlines allow.
+/// Guards against a queue as long as the deadlines allow: requests with long deadlines fill it with
+/// several seconds of work, and every request waits through it. At 1.2 times capacity, 84 in 100
+/// answers were complete, 10 in 100 had their first token in time, and refusals took six seconds.
 TEST(Admission, RefusesWhatWouldWaitLongerThanTheLongestWait)
 {
   AdmissionOptions options = Desk::MakeOptions(100);
   options.mLongestWait = milliseconds(500);
   Admission admission(options);
-  admission.SetPool(PoolOf(10, { { "a", 1.0 } })); // one leaves each 100 ms
+  admission.SetPool(PoolOf(10, { { "a", 1.0 } })); // one request ends every 100 ms
   const TimePoint now{};
   std::vector<GivenUp> givenUp;
   std::map<AdmissionVerdict, int> verdicts;
@@ -121,12 +120,13 @@
     const auto decision = admission.Arrive({ id, "a", 5, now + seconds(60) }, now, &givenUp);
     ++verdicts[decision.mVerdict];
     if (decision.mVerdict == AdmissionVerdict::kRefuse) {
-      EXPECT_GE(decision.mRetryAfter, milliseconds(600)) << "from the queue as it is";
+      EXPECT_GE(decision.mRetryAfter, milliseconds(600)) << "derived from the current queue";
     }
   }
   EXPECT_EQ(verdicts[AdmissionVerdict::kRun], 10);
   EXPECT_EQ(verdicts[AdmissionVerdict::kWait], 5);
-  // Answers take longer than was thought: those behind the first are told now, not at their end.
+  // Answers take longer than expected: the requests behind the first are refused now, not at their
+  // deadline.
   admission.OnDone(1, seconds(8));
   EXPECT_EQ(admission.Hopeless(now).size(), 4U);
 }
@@ -148,9 +148,8 @@
   EXPECT_TRUE(admission.Hopeless(TimePoint()).empty());
 }
 
-/// Symptom: refusals come after nine of the ten seconds that a caller gave.
-/// Sequence: the queue looked short on arrival; then answers take longer than before.
-/// Cause: giving a waiting request up only when its deadline is near.
+/// Guards against refusing a waiting request only when its deadline is near: answers take longer
+/// than they did on its arrival, and the refusal comes after nine of its ten seconds.
 TEST(Admission, GivesUpAWaitingRequestAsSoonAsItsTurnWouldComeTooLate)
 {
   Desk desk(PoolOf(1, { { "a", 1.0 } }));
@@ -158,7 +157,7 @@
     desk.Arrive("a", 5, seconds(10));
   }
   EXPECT_TRUE(desk.mAdmission.Hopeless(desk.mClock.Now()).empty());
-  desk.mAdmission.OnDone(1, seconds(4)); // four times as long as was guessed
+  desk.mAdmission.OnDone(1, seconds(4)); // four times the assumed time
   const auto given = desk.mAdmission.Hopeless(desk.mClock.Now());
   ASSERT_EQ(given.size(), 3U) << "one waits 4 s and takes 4 s more; the second would need 12 s";
   EXPECT_GE(given.front().mDecision.mRetryAfter, seconds(4));
@@ -177,9 +176,9 @@
   EXPECT_EQ(desk.Arrive("a", 9), AdmissionVerdict::kRefuse);
 }
 
-/// Symptom: all nodes fill the same free slots at once. And: a node cut off from its peers goes on
-/// as if the whole pool were its own.
-TEST(Admission, NodesSplitWhatIsFreeAndFallBackToTheirEvenPart)
+/// Guards against all nodes filling the same free slots at once, and against a node that is
+/// partitioned from its peers using the whole pool.
+TEST(Admission, NodesSplitFreeSlotsAndFallBackToTheirEvenShare)
 {
   PoolState pool = PoolOf(90, { { "a", 1.0 } });
   pool.mNodes = 9;
@@ -193,10 +192,10 @@
   EXPECT_EQ(desk.mAdmission.Allowance(), 10U);
 }
 
-/// Several nodes over one pool, with views that lag: customers come and go at random, and the nodes
-/// exchange usage only now and then. What runs never exceeds the pool by more than one node's even
-/// part, each request gets one decision, and a customer within its share is never refused for a
-/// full queue while another above its share waits.
+/// Several nodes share one pool with stale views: customers come and go at random, and the nodes
+/// exchange usage only occasionally. The running requests never exceed the pool by more than one
+/// node's even share, each request gets one decision, and a customer within its share is never
+/// refused for a full queue while another above its share waits.
 RC_GTEST_PROP(Admission, SharesHoldAcrossNodes, ())
 {
   constexpr int kNodes = 3;
@@ -245,7 +244,7 @@
         start(index, id);
       }
     } else if (kind == 6) {
-      for (std::size_t i = 0; i < kNodes; ++i) { // the nodes hear of each other
+      for (std::size_t i = 0; i < kNodes; ++i) { // the nodes exchange usage
         PoolState view = pool;
         view.mUsageAt = clock.Now();
         for (std::size_t j = 0; j < kNodes; ++j) {
--- a/src/pepperbay/admission/connection_gate.cpp
+++ b/src/pepperbay/admission/connection_gate.cpp
@@ -68,7 +68,7 @@
     mRate = mLag > mOptions.mMostLag ? std::max(least, std::min(mRate, taken) * mOptions.mFall)
                                      : mRate * mOptions.mGrowth;
   }
-  // What came in a rush is not usual; what is taken of it may become so.
+  // Connections offered in a burst do not count as usual; those accepted do.
   const Duration over = std::min(mOptions.mUsualOver, aNow - mSince);
   mUsual += (mTaken / Seconds(since) - mUsual) * std::min(1.0, Seconds(since) / Seconds(over));
   mPeriod = (mPeriod + 1) % kPeriods;
@@ -90,7 +90,7 @@
     return true;
   }
   if (mRate == 0) {
-    // A process that has just started knows no usual rate; its lag alone bounds what it takes.
+    // A process that has just started has no usual rate; only its lag limits what it accepts.
     mRate = KnowsUsual(aNow) ? std::max(mOptions.mLeastFirst, mOptions.mFirstRate * mUsual)
                              : std::numeric_limits<double>::max();
   }
--- a/src/pepperbay/admission/connection_gate_test.cpp
+++ b/src/pepperbay/admission/connection_gate_test.cpp
@@ -16,7 +16,7 @@
 class Gate
 {
 public:
-  /// Ticks and evenly spread connections. @return how many of these were taken
+  /// Ticks, with evenly spread connections. @return how many were accepted
   int Run(double aPerSecond, Duration aFor, Duration aLag)
   {
     int taken = 0;
@@ -35,7 +35,7 @@
   TimePoint mNow = TimePoint(std::chrono::hours(1));
 };
 
-/// A node that is slow, or was suspended, would refuse its own callers.
+/// Guards against a node that is slow, or was suspended, refusing its usual callers.
 TEST(ConnectionGate, UsualConnectionsAreTakenThoughTheThreadIsLate)
 {
   Gate gate;
@@ -43,7 +43,7 @@
   EXPECT_EQ(gate.Run(100, seconds(5), kLate), 500);
 }
 
-/// More users at a time would be refused by nodes that could serve them.
+/// Guards against refusing a moderate increase that the node could serve.
 TEST(ConnectionGate, AFewTimesTheUsualRateIsTakenByANodeThatKeepsUp)
 {
   Gate gate;
@@ -51,23 +51,24 @@
   EXPECT_EQ(gate.Run(350, seconds(5), milliseconds(0)), 1750);
 }
 
-/// Callers whose connections were all cut come back at once, and would be sent away by idle nodes.
-TEST(ConnectionGate, CallersThatComeBackAtOnceAreTaken)
+/// Guards against idle nodes refusing callers that reconnect at once after their connections were
+/// cut.
+TEST(ConnectionGate, CallersThatReconnectAtOnceAreTaken)
 {
   Gate gate;
   gate.Run(2, seconds(30), milliseconds(0));
   EXPECT_EQ(gate.Run(1000, milliseconds(180), kLate), 180);
 }
 
-/// After all nodes have started anew their callers come back at once.
+/// After a restart of all nodes their callers reconnect at once.
 TEST(ConnectionGate, ANewProcessThatKeepsUpTakesAll)
 {
   Gate gate;
   EXPECT_EQ(gate.Run(1000, seconds(5), milliseconds(0)), 5000);
 }
 
-/// After the loss of other nodes the rate stays high; refused for ever, their callers find nobody.
-TEST(ConnectionGate, ANodeThatKeepsUpComesToTakeAll)
+/// After the loss of other nodes the rate stays high; callers refused for ever would find no node.
+TEST(ConnectionGate, ANodeThatKeepsUpEventuallyTakesAll)
 {
   Gate gate;
   gate.Run(20, seconds(30), milliseconds(0));
@@ -75,7 +76,7 @@
   EXPECT_EQ(gate.Run(1000, seconds(1), milliseconds(0)), 1000);
 }
 
-TEST(ConnectionGate, ANodeThatIsLateInARushTakesTheUsualRate)
+TEST(ConnectionGate, ANodeThatLagsInABurstTakesTheUsualRate)
 {
   Gate gate;
   gate.Run(50, seconds(30), milliseconds(0));
@@ -83,7 +84,8 @@
   EXPECT_LT(gate.Run(1000, seconds(1), kLate), 2 * 50);
 }
 
-/// A process that has no descriptor left can neither take up a connection nor reach an engine.
+/// A process without free file descriptors can neither accept a connection nor connect to an
+/// engine.
 TEST(ConnectionGate, NoMoreAreTakenThanMayBeOpen)
 {
   ConnectionGateOptions options;
@@ -95,8 +97,8 @@
   EXPECT_EQ(MostCallers(4100), 2460U);
 }
 
-/// A node whose thread does one thing after the other: a request costs some when it is read, and
-/// more with each of its events.
+/// A node with a single-threaded server: a request costs time when it is read, and more time with
+/// each of its events.
 class Node
 {
 public:
@@ -113,7 +115,7 @@
     int mUnread = 0;
   };
 
-  /// @return what became of the connections of this time.
+  /// @return the outcome of the connections of this run.
   Count Run(double aPerSecond, Duration aFor)
   {
     const std::size_t from = mRequests.size();
@@ -122,7 +124,7 @@
     const std::size_t to = mRequests.size();
     constexpr int kTicks = 500;
     for (int i = 0; i < kTicks; ++i, mNow += kTick) {
-      Tick(); // what was read is served to its end
+      Tick(); // serve the requests that were read to the end
     }
     for (std::size_t i = from; i < to; ++i) {
       ++count.mRead;
@@ -131,7 +133,7 @@
     return count;
   }
 
-  /// @return the connections that were closed unread.
+  /// @return the number of connections closed unread.
   int Serve(double aPerSecond, Duration aFor)
   {
     int unread = 0;
@@ -192,11 +194,12 @@
   Duration mLag{ 0 };
   std::size_t mOpen = 0;
   std::vector<Request> mRequests;
-  std::size_t mFirst = 0; ///< of those that are not over
+  std::size_t mFirst = 0; ///< of the requests that have not ended
 };
 
-/// The node that gets the connections of a region serves nearly none of them in time.
-TEST(ConnectionGate, WhatANodeReadsInARushItServesInTime)
+/// Guards against a node that receives the connections of a whole region and serves nearly none of
+/// its requests in time.
+TEST(ConnectionGate, RequestsReadInABurstAreServedInTime)
 {
   for (const double rush : { 60.0, 160.0, 400.0, 1200.0, 5000.0 }) {
     Node node;
@@ -205,7 +208,7 @@
     const Node::Count count = node.Run(rush, seconds(5));
     EXPECT_GE(count.mInTime, 0.95 * count.mRead) << rush;
     EXPECT_GE(count.mRead + 1, std::min(rush, 160.0) * 5)
-      << rush << ": nor does it refuse what it can serve";
+      << rush << ": refused requests that it could serve";
   }
 }
 
--- a/src/pepperbay/admission/earned_retries.cpp
+++ b/src/pepperbay/admission/earned_retries.cpp
@@ -3,7 +3,7 @@
 namespace pepperbay {
 namespace {
 
-constexpr int kSteps = 20; // of a window
+constexpr int kSteps = 20; // per window
 
 }
 
@@ -21,7 +21,7 @@
 EarnedRetries::Step&
 EarnedRetries::Current(TimePoint aNow)
 {
-  // What was taken counts for a step longer than the window.
+  // Retries taken are counted for one step longer than the window.
   while (!mSteps.empty() && aNow - mSteps.front().mBegin >= mOptions.mWindow + StepLength()) {
     mSteps.pop_front();
   }
--- a/src/pepperbay/admission/retry_account.hpp
+++ b/src/pepperbay/admission/retry_account.hpp
@@ -1,6 +1,5 @@
 /// @file
-/// @brief Second attempts of all nodes together against what is allowed; for tests and
-/// measurements.
+/// @brief Checks the retries of all nodes together against the limit; for tests and benchmarks.
 #pragma once
 
 #include "pepperbay/admission/retry_limits.hpp"
@@ -10,8 +9,7 @@
 
 namespace pepperbay {
 
-/// Counts requests and second attempts by time, and holds the sum in each window against what is
-/// allowed.
+/// Counts requests and retries by time and compares the sum in each window with the limit.
 class RetryAccount
 {
 public:
@@ -23,8 +21,8 @@
   void OnRequest(TimePoint aNow) { ++At(&mRequests, aNow); }
   void OnRetry(TimePoint aNow) { ++At(&mRetries, aNow); }
 
-  /// @return the most by which a window exceeds what is allowed; 0 or less: none does. What is
-  /// allowed goes by the requests of the window, of the one before, or of the one between.
+  /// @return the largest excess of any window over the limit; 0 or less: the limit held. The limit
+  /// is that for the most requests of: this window, the previous one, the one half-way between.
   double Excess() const
   {
     double excess = -mLimits.mSlack;
--- a/src/pepperbay/admission/token_bucket_test.cpp
+++ b/src/pepperbay/admission/token_bucket_test.cpp
@@ -22,7 +22,7 @@
   EXPECT_TRUE(bucket.IsFull(kStart + seconds(60)));
 }
 
-TEST(TokenBucket, ANewRateCountsFromThatMomentOn)
+TEST(TokenBucket, ANewRateAppliesFromItsChangeOn)
 {
   TokenBucket bucket({ 1.0, 4.0 }, kStart);
   bucket.SetOptions({ 10.0, 2.0 }, kStart + seconds(1));
@@ -31,7 +31,7 @@
   EXPECT_DOUBLE_EQ(bucket.Level(kStart + seconds(2)), 2.0);
 }
 
-TEST(TokenBucket, WhatWasSpentWithoutAskingIsOwedUpToTheDepth)
+TEST(TokenBucket, TokensSpentWithoutTakeAreOwedUpToTheDepth)
 {
   TokenBucket bucket({ 1.0, 2.0 }, kStart);
   for (int i = 0; i < 9; ++i) {
@@ -42,8 +42,8 @@
   EXPECT_TRUE(bucket.Take(kStart + seconds(3)));
 }
 
-/// Property: in any span it gives out at most its rate over that span, and its depth.
-RC_GTEST_PROP(TokenBucketProperty, AnySpanGetsAtMostTheRateAndTheDepth, ())
+/// Property: in any interval it grants at most its rate times the interval, plus its depth.
+RC_GTEST_PROP(TokenBucketProperty, AnyIntervalGetsAtMostTheRateAndTheDepth, ())
 {
   const double rate = *rc::gen::inRange(1, 100) / 10.0;
   const double depth = *rc::gen::inRange(1, 5);
--- a/src/pepperbay/admission/turn_book.cpp
+++ b/src/pepperbay/admission/turn_book.cpp
@@ -6,9 +6,9 @@
 namespace pepperbay {
 namespace {
 
-/// Customers that are kept at most; a deployment has some tens.
+/// Maximum number of customers tracked; a deployment has some tens.
 constexpr std::size_t kMostKept = 1024;
-/// What is left of a count when it is forgotten.
+/// A decayed count below this is dropped.
 constexpr double kNothing = 0.01;
 
 } // namespace
@@ -69,7 +69,7 @@
     if (aNow - aRefused.second >= mOptions.mWaits || urgency > aClaimant.mUrgency) {
       return false;
     }
-    // Less than one apart is no difference, or two customers would wait for each other by turns.
+    // A difference below 1 is ignored; otherwise two customers would keep outranking each other.
     return urgency < aClaimant.mUrgency || TakenBy(customer, aNow) + 1 <= own;
   });
 }
--- a/src/pepperbay/admission/turn_book_test.cpp
+++ b/src/pepperbay/admission/turn_book_test.cpp
@@ -21,10 +21,11 @@
   EXPECT_TRUE(turns.IsOutranked({ 5, 1 }, kStart));
   EXPECT_FALSE(turns.IsOutranked({ 2, 1 }, kStart));
   EXPECT_FALSE(turns.IsOutranked({ 0, 1 }, kStart));
-  EXPECT_FALSE(turns.IsOutranked({ 5, 1 }, kStart + seconds(1))) << "they wait no more";
+  EXPECT_FALSE(turns.IsOutranked({ 5, 1 }, kStart + seconds(1)))
+    << "they no longer count as waiting";
 }
 
-TEST(TurnBook, AmongEqualsTheCustomerThatHasGotLessGoesFirst)
+TEST(TurnBook, AtEqualUrgencyTheCustomerGrantedLessGoesFirst)
 {
   TurnBook turns;
   turns.OnTaken({ 1, 1 }, kStart);
@@ -32,10 +33,10 @@
   turns.OnRefused({ 1, 2 }, kStart);
   EXPECT_TRUE(turns.IsOutranked({ 1, 1 }, kStart));
   EXPECT_FALSE(turns.IsOutranked({ 1, 2 }, kStart));
-  EXPECT_FALSE(turns.IsOutranked({ 0, 1 }, kStart)) << "more urgent than those who wait";
+  EXPECT_FALSE(turns.IsOutranked({ 0, 1 }, kStart)) << "more urgent than the waiting claimants";
 }
 
-/// Guards against a customer with many callers taking a small rate for itself.
+/// Guards against a customer with many callers taking most of a small rate.
 TEST(TurnBook, ACustomerWithTenTimesTheCallersGetsNoMoreOfASmallRate)
 {
   TurnBook turns;
@@ -57,7 +58,7 @@
   EXPECT_GE(got[1], got[0] * 6 / 10);
 }
 
-TEST(TurnBook, ForgetsAllInTheEnd)
+TEST(TurnBook, ForgetsAllEventually)
 {
   TurnBook turns;
   turns.OnTaken({ 1, 1 }, kStart);
