--- a/include/pepperbay/dispatch/asked_engines.hpp
+++ b/include/pepperbay/dispatch/asked_engines.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief The engines that one request was sent to, and those that may have it once more. Pure.
+/// @brief The engines that a request was sent to, and those it may be sent to a second time. Pure.
 #pragma once
 
 #include <cstdint>
@@ -10,15 +10,16 @@
 
 namespace pepperbay {
 
-/// The replica of which an engine was the head when a request went there; empty for none.
+/// The replica whose head (the member that receives its requests) the engine was when the request
+/// was sent; empty: none.
 struct AskedReplica
 {
   std::string mGroup;
   std::uint64_t mEpoch = 0;
 };
 
-/// A route bounds the engines that a request is sent to, not the times that it is sent: the same
-/// engine once more is no further one.
+/// A route limits the number of engines that a request is sent to, not the number of attempts:
+/// sending it to the same engine again does not count.
 ///
 /// @code
 /// asked.OnSent("e1", { "g1", 7 });
@@ -28,18 +29,20 @@
 class AskedEngines
 {
 public:
-  /// @return whether an engine heads a later formation of the replica that was asked.
+  /// @return whether the engine is the head of the same replica, re-formed since (a higher epoch).
   using FormedAnew = std::function<bool(const std::string& aEngine, const AskedReplica& aAsked)>;
 
   void OnSent(const std::string& aEngine, AskedReplica aReplica);
-  /// The connection did not stand: the engine was not asked.
+  /// The connection was not established: the engine did not get the request.
   void OnUnreached(const std::string& aEngine);
-  /// The engine has refused the request, or closed a kept connection under it without an answer.
+  /// The engine refused the request, or closed the pooled connection it was sent on without an
+  /// answer.
   void OnNotTaken(const std::string& aEngine);
 
-  /// @return how many engines were asked.
+  /// @return the number of engines that the request was sent to.
   int Count() const { return static_cast<int>(mEngines.size()); }
-  /// @return engines that did not take it, or have formed anew since; each at most once.
+  /// @return engines that did not take the request, or whose replica was re-formed since; each is
+  /// returned for one second attempt at most.
   std::set<std::string> OnceMore(const FormedAnew& aFormedAnew) const;
 
 private:
@@ -47,7 +50,7 @@
   {
     int mTimes = 0;
     bool mNotTaken = false;
-    bool mRefusedBefore = false; ///< mNotTaken, before the last sending
+    bool mRefusedBefore = false; ///< mNotTaken, before the last attempt
     AskedReplica mReplica;
   };
 
--- a/include/pepperbay/dispatch/attempt.hpp
+++ b/include/pepperbay/dispatch/attempt.hpp
@@ -1,7 +1,8 @@
 /// @file
-/// @brief What follows when an attempt fails: try again, resume, or answer; and whether it ran.
+/// @brief Decides what follows a failed attempt (retry, resume or answer) and whether the request
+/// ran.
 ///
-/// Pure rules, kept apart from sockets so that every sequence of failures can be tried on them.
+/// Pure rules without sockets, so that tests can apply every sequence of failures.
 #pragma once
 
 #include "pepperbay/admission/retry_budget.hpp"
@@ -15,19 +16,19 @@
 /// Whether a request has had an effect at a back end.
 enum class Ran
 {
-  kNo,      ///< proved: refused before dispatch, no byte left, or the back end said so
-  kUnknown, ///< it may have
-  kYes,     ///< a complete answer came
+  kNo,      ///< proven: refused before dispatch, no byte sent, or the back end said so
+  kUnknown, ///< it may have run
+  kYes,     ///< a complete answer was received
 };
 
 const char*
 ToString(Ran aRan);
 
-/// What the caller asked for, as far as it decides retries.
+/// Properties of the request that decide retries.
 struct DeliveryRequest
 {
   bool mUnrepeatable = false;
-  bool mStreams = false; ///< tokens go to the caller as they come
+  bool mStreams = false; ///< tokens are passed to the caller as they arrive
   TimePoint mDeadline{};
   int mMostAttempts = 4;
 };
@@ -37,8 +38,8 @@
 {
   bool mByteLeft = true; ///< false only with proof that no byte of the request was sent
   bool mBackEndSaysNotRun = false;
-  bool mRefused = false;   ///< the back end answered that it will not take this request
-  bool mCanResume = false; ///< the engine can go on from a token
+  bool mRefused = false;   ///< the back end answered that it does not accept this request
+  bool mCanResume = false; ///< the engine can resume from a given token
   std::string mDetail;
 };
 
@@ -46,7 +47,7 @@
 {
   kRetry,  ///< from the start, on another replica
   kResume, ///< on another replica, from the first token that the caller does not have
-  kAnswer, ///< no more attempts: tell the caller
+  kAnswer, ///< no more attempts: send the final answer
 };
 
 struct NextDecision
@@ -58,23 +59,23 @@
 
 /// The attempts of one accepted request.
 ///
-/// Exactly one final answer comes of it: `OnFailure()` returns kAnswer or `OnComplete()` is called,
+/// There is exactly one final answer: `OnFailure()` returns kAnswer or `OnComplete()` is called,
 /// and after either `Finished()` is true and nothing more may be sent.
 class Delivery
 {
 public:
   explicit Delivery(DeliveryRequest aRequest);
 
-  /// An attempt is about to be sent. @return its number from 1; 0 when none may be made.
+  /// Registers an attempt about to be sent. @return its number from 1; 0: no attempt may be made.
   int BeginAttempt();
 
-  /// A token has been passed on to the caller, or kept for it when the answer is not streamed.
+  /// A token has been passed on to the caller, or buffered when the answer is not streamed.
   void OnToken() { ++mTokens; }
 
   /// The attempt has failed.
   NextDecision OnFailure(const AttemptFailure& aFailure, TimePoint aNow, RetryBudget* aBudget);
 
-  /// The attempt brought the whole answer.
+  /// The attempt returned the complete answer.
   void OnComplete() { mFinished = true; }
 
   std::uint64_t Tokens() const { return mTokens; }
--- a/include/pepperbay/dispatch/claims.hpp
+++ b/include/pepperbay/dispatch/claims.hpp
@@ -1,9 +1,10 @@
 /// @file
-/// @brief At most once for requests with an idempotency key: the first claim in the log wins.
+/// @brief At-most-once execution of requests with an idempotency key: the first claim in the log
+/// wins.
 ///
-/// A key is claimed in a stream of the log before its request is dispatched, by whichever node took
-/// it. The stream's order decides between nodes, so no node needs to be trusted with the decision
-/// and none loses it by dying. Pure.
+/// The node that accepts a request appends a claim of its key to a log stream before it dispatches
+/// the request. The order of the stream decides between nodes, so the decision depends on no single
+/// node and survives the loss of any. Pure.
 #pragma once
 
 #include "pepperbay/base/clock.hpp"
@@ -18,67 +19,68 @@
 
 namespace pepperbay {
 
-/// Largest answer kept for a retry of its key, in bytes; of a larger one only the status is kept.
+/// Largest answer, in bytes, stored for retries with the same key; for a larger one only the status
+/// is stored.
 constexpr std::size_t kMaxKeptAnswer = 4096;
 
 /// @return the partition of a key, the same on every node.
 std::uint32_t
 PartitionOf(const std::string& aKey, std::uint32_t aPartitions);
 
-/// A key that is a UUIDv7 (RFC 9562) tells when it was made.
-/// @return that time since the Unix epoch, or nothing for keys of other forms
+/// @return the creation time in a UUIDv7 key (RFC 9562), since the Unix epoch; nullopt for keys of
+/// other forms
 std::optional<std::chrono::milliseconds>
 TimeOfKey(const std::string& aKey);
 
-/// How a claim stands.
+/// State of a claim.
 enum class ClaimStanding
 {
-  kUnknown,  ///< its record has not been folded, or it is void
-  kWon,      ///< it is the first for its key
+  kUnknown,  ///< its record has not been applied, or the claim is void
+  kWon,      ///< it is the first claim of its key
   kTaken,    ///< another claim was first and has not reported an answer
-  kAnswered, ///< another claim was first; its answer is kept
+  kAnswered, ///< another claim was first; its answer is stored
 };
 
-/// A request with an idempotency key that asks to be the one that runs.
+/// A claim to run the request with an idempotency key.
 struct KeyClaim
 {
   std::string mKey;
-  std::string mClaimId;           ///< of this try, never used again
+  std::string mClaimId;           ///< unique to this attempt
   std::uint64_t mFingerprint = 0; ///< hash of the request; 0 when unknown
-  Duration mPatience{ 0 };        ///< until the claim is given up
+  Duration mPatience{ 0 };        ///< time after which the claim is abandoned
 };
 
 struct ClaimVerdict
 {
   ClaimStanding mStanding = ClaimStanding::kUnknown;
-  std::uint64_t mFingerprint = 0; ///< of the claim that was first
-  proto::KeptAnswer mAnswer;      ///< when answered
+  std::uint64_t mFingerprint = 0; ///< of the first claim
+  proto::KeptAnswer mAnswer;      ///< set for kAnswered
 };
 
-/// The fold of one partition of the claims stream.
+/// State of one partition of the claims stream, built by applying its records in order.
 ///
-/// An ABANDON record makes its claim void for good, also when it lands before the claim does: a
-/// node gives up while the append of its claim is still on the way. Otherwise that claim would win
-/// with nobody to carry it out, and its key would answer "outcome unknown" for the whole window.
+/// An ABANDON record makes its claim void permanently, even if it precedes the claim in the log: a
+/// node may give up while the append of its claim is still in flight. Otherwise that claim would
+/// win although no node runs it, and its key would answer "outcome unknown" for the whole window.
 ///
 /// @code
 /// fold.Apply(offset, bytes);
-/// fold.ForgetBefore(earliest);   // what the log no longer keeps
+/// fold.ForgetBefore(earliest);   // records that the log has trimmed
 /// auto verdict = fold.Judge(key, claimId);
 /// @endcode
 class ClaimFold
 {
 public:
-  /// Fold the record at an offset; offsets must follow one another, older ones are skipped.
+  /// Applies the record at an offset. Offsets must be consecutive; older ones are skipped.
   void Apply(std::uint64_t aOffset, std::string_view aBytes);
 
-  /// @return how the claim `aClaimId` of a key stands.
+  /// @return the state of the claim `aClaimId` of a key.
   ClaimVerdict Judge(const std::string& aKey, const std::string& aClaimId) const;
 
-  /// Drop claims older than the log's first offset: the window in which a key is remembered.
+  /// Drops claims older than the log's first offset, which bounds how long keys are remembered.
   void ForgetBefore(std::uint64_t aEarliest);
 
-  /// Begin at an offset, when the log has been cut before it.
+  /// Starts at an offset when the log has been trimmed up to it.
   void StartAt(std::uint64_t aOffset);
 
   std::uint64_t Next() const { return mNext; }
@@ -103,7 +105,7 @@
   std::uint64_t mNext = 0;
   std::map<std::string, Claim> mClaims;
   std::deque<Order> mOrder;
-  std::map<std::string, std::uint64_t> mVoid; ///< claim ids, to the offset that abandoned them
+  std::map<std::string, std::uint64_t> mVoid; ///< claim id to the offset of its ABANDON record
   std::deque<Order> mVoidOrder;               ///< the same, oldest first
 };
 
--- a/include/pepperbay/dispatch/failure_step.hpp
+++ b/include/pepperbay/dispatch/failure_step.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief What to do with a request after an engine did not answer it whole. Pure.
+/// @brief Decides the next step of a request after an engine failed to answer it completely. Pure.
 #pragma once
 
 #include "pepperbay/base/clock.hpp"
@@ -8,28 +8,28 @@
 
 namespace pepperbay {
 
-/// How far a request has come when an attempt fails.
+/// State of a request when an attempt fails.
 struct RequestProgress
 {
-  bool mRepeatable = false;  ///< may run more than once, or go on after its last event
-  bool mMayHaveRun = false;  ///< an engine may have begun it, in this attempt or an earlier one
-  bool mAnswerBegun = false; ///< the caller has the head of the answer
-  int mSent = 0;             ///< engines that it was sent to
-  int mMostSent = 1;         ///< engines that it may be sent to
+  bool mRepeatable = false;  ///< may run more than once, or resume after its last event
+  bool mMayHaveRun = false;  ///< an engine may have started it, in this or an earlier attempt
+  bool mAnswerBegun = false; ///< the caller has received the answer's header
+  int mSent = 0;             ///< number of engines it was sent to
+  int mMostSent = 1;         ///< number of engines it may be sent to
   Duration mLeft{ 0 };       ///< until its deadline
-  bool mHasTarget = false;   ///< another engine could take it
-  bool mHasBudget = false;   ///< the pool bears one more second attempt
-  bool mHeldBack = false;    ///< engines have ended under it, and another one might
-  Duration mPatience{ 0 };   ///< its caller waits so long for the next piece of an answer
+  bool mHasTarget = false;   ///< another engine is available
+  bool mHasBudget = false;   ///< the retry budget allows one more retry
+  bool mHeldBack = false;    ///< quarantined: engines exited while running it, and others may too
+  Duration mPatience{ 0 };   ///< how long its caller waits for the next part of the answer
 };
 
 enum class FailureStep
 {
   kSendAgain,
-  kWait,   ///< nothing can take it now, and something may before its caller leaves
-  kRefuse, ///< it has not run and never will: say so, and when to come back
-  kFail,   ///< it may have run: say that nobody knows
-  kCut,    ///< the answer has begun: break it off so that it cannot look complete
+  kWait,   ///< no engine can take it now, but one may before its caller gives up
+  kRefuse, ///< it has not run and will not: answer so, with a time to retry after
+  kFail,   ///< it may have run: answer that the outcome is unknown
+  kCut,    ///< the answer has begun: abort it so that it cannot look complete
 };
 
 /// @code
@@ -38,7 +38,7 @@
 FailureStep
 AfterFailure(const RequestProgress& aProgress);
 
-/// @return what forbids another attempt, for the log; empty when nothing does.
+/// @return why no further attempt is allowed, for the log; empty if one is.
 std::string
 WhyNotAgain(const RequestProgress& aProgress);
 
--- a/scripts/mutants/own_path.sh
+++ b/scripts/mutants/own_path.sh
@@ -36,7 +36,7 @@
   's/progress.mRepeatable = !mRequest.mUnrepeatable/progress.mRepeatable = true/; s/const bool mayRepeat = .*/const bool mayRepeat = true;/' \
   dispatch_attempt_test '*NeverRepeats*'
 mutant "not run said without proof" $s/dispatch/attempt.cpp \
-  's/mMayHaveRun \? Ran::kUnknown : Ran::kNo/Ran::kNo/' dispatch_attempt_test '*NeverLies*'
+  's/mMayHaveRun \? Ran::kUnknown : Ran::kNo/Ran::kNo/' dispatch_attempt_test '*NeverClaimsNotRun*'
 mutant "no retry budget" $s/admission/retry_budget.cpp \
   's/if \(mLeft < 1.0\)/if (false)/' dispatch_attempt_test '*RetriesStay*'
 mutant "last claim wins" $s/dispatch/claims.cpp \
--- a/src/pepperbay/dispatch/asked_engines_test.cpp
+++ b/src/pepperbay/dispatch/asked_engines_test.cpp
@@ -14,7 +14,7 @@
   return false;
 }
 
-/// Guards against a stream that is cut because a refusal has used up the engines of its route.
+/// Guards against cutting a stream because a refusal used up the attempts of its route.
 TEST(AskedEngines, OneThatDidNotTakeItMayBeAskedOnceMore)
 {
   AskedEngines asked;
@@ -28,8 +28,8 @@
   EXPECT_EQ(asked.Count(), 2);
 }
 
-/// Guards against a stream that is cut though the head that worked on it takes requests again.
-TEST(AskedEngines, AHeadThatHasFormedAnewMayBeAskedOnceMore)
+/// Guards against cutting a stream although the head that ran it accepts requests again.
+TEST(AskedEngines, AHeadOfAReFormedReplicaMayBeAskedOnceMore)
 {
   AskedEngines asked;
   asked.OnSent("a", { "g", 1 });
@@ -45,7 +45,7 @@
   EXPECT_EQ(asked.OnceMore(formed), Names{});
 }
 
-/// Guards against attempts that are used up by engines that were never reached.
+/// Guards against attempts being used up by engines that were never reached.
 TEST(AskedEngines, OneThatWasNotReachedDoesNotCount)
 {
   AskedEngines asked;
@@ -59,7 +59,7 @@
   EXPECT_EQ(asked.Count(), 1);
 }
 
-/// Guards against an engine that is asked again and again.
+/// Guards against retrying the same engine repeatedly.
 RC_GTEST_PROP(AskedEngines, NoEngineIsOfferedAThirdTime, ())
 {
   AskedEngines asked;
@@ -81,9 +81,8 @@
   }
 }
 
-/// Guards against an engine that refused once, was not reached the second time, and so was never
-/// asked again.
-TEST(AskedEnginesTest, OneThatRefusedMayBeAskedAfterAConnectionThatDidNotStand)
+/// Guards against excluding an engine that refused once and was not reached on the second attempt.
+TEST(AskedEnginesTest, OneThatRefusedMayBeAskedAfterAFailedConnection)
 {
   AskedEngines asked;
   asked.OnSent("e1", { "g1", 7 });
--- a/src/pepperbay/dispatch/attempt.cpp
+++ b/src/pepperbay/dispatch/attempt.cpp
@@ -57,7 +57,7 @@
   progress.mSent = mAttempts;
   progress.mMostSent = mRequest.mMostAttempts;
   progress.mLeft = mRequest.mDeadline - aNow;
-  progress.mHasTarget = true; // looked for by whoever makes the attempt
+  progress.mHasTarget = true; // the caller looks for a target itself
   progress.mHasBudget = aBudget->Left() >= 1.0;
   if (AfterFailure(progress) != FailureStep::kSendAgain) {
     return Finish(WhyNotAgain(progress) + ("; last: " + aFailure.mDetail));
@@ -66,7 +66,7 @@
   if (began && aFailure.mCanResume) {
     return { NextStep::kResume, Ran::kUnknown, aFailure.mDetail };
   }
-  mTokens = 0; // nothing of them has reached the caller; the next attempt begins anew
+  mTokens = 0; // none of them has reached the caller; the next attempt starts over
   return { NextStep::kRetry, Ran::kUnknown, aFailure.mDetail };
 }
 
--- a/src/pepperbay/dispatch/attempt_test.cpp
+++ b/src/pepperbay/dispatch/attempt_test.cpp
@@ -86,10 +86,10 @@
   }
 }
 
-/// Symptom: an answer with its first words missing.
-/// Sequence: an answer that is not streamed fails half-way at an engine that cannot resume; the
-/// next attempt is asked to go on from the middle. Cause: counting tokens that were thrown away.
-TEST(Delivery, AnAnswerKeptHereBeginsAnewWhenTheEngineCannotResume)
+/// Guards against an answer without its first words: an answer that is not streamed fails half-way
+/// at an engine that cannot resume, discarded tokens are still counted, and the next attempt
+/// resumes from the middle.
+TEST(Delivery, ABufferedAnswerStartsOverWhenTheEngineCannotResume)
 {
   RetryBudget budget({ 0.1, 10 });
   Delivery delivery({ false, false, TimePoint(seconds(60)), 4 });
@@ -100,10 +100,10 @@
   EXPECT_EQ(delivery.Tokens(), 0U);
 }
 
-/// Any sequence of outcomes: an unrepeatable request is not sent again once it may have run; "not
-/// run" is said only when no attempt may have run; there is exactly one final answer; the retry
-/// budget is never passed.
-RC_GTEST_PROP(Delivery, NeverRepeatsAndNeverLies, ())
+/// For any sequence of outcomes: an unrepeatable request is not sent again once it may have run;
+/// "not run" is answered only when no attempt may have run; there is exactly one final answer; the
+/// retry budget is never exceeded.
+RC_GTEST_PROP(Delivery, NeverRepeatsAndNeverClaimsNotRunWithoutProof, ())
 {
   const bool unrepeatable = *rc::gen::arbitrary<bool>();
   const bool streams = *rc::gen::arbitrary<bool>();
--- a/src/pepperbay/dispatch/claims.cpp
+++ b/src/pepperbay/dispatch/claims.cpp
@@ -52,7 +52,7 @@
   const auto it = mClaims.find(record.key());
   switch (record.kind()) {
     case proto::ClaimRecord::CLAIM:
-      // The first one wins; a record that came twice has the same claim id and changes nothing.
+      // The first claim wins; a duplicate record has the same claim id and changes nothing.
       if (it == mClaims.end() && mVoid.count(record.claim_id()) == 0) {
         mClaims[record.key()] = { record.claim_id(), aOffset, std::nullopt, record.fingerprint() };
         mOrder.push_back({ aOffset, record.key() });
@@ -64,7 +64,7 @@
       }
       break;
     case proto::ClaimRecord::ABANDON:
-      // Its node has proof that the request did not run: the key is free again.
+      // The node has proof that the request did not run: the key is free again.
       if (it == mClaims.end() || it->second.mId != record.claim_id()) {
         MakeVoid(aOffset, record.claim_id());
       } else if (!it->second.mAnswer) {
--- a/src/pepperbay/dispatch/failure_step.cpp
+++ b/src/pepperbay/dispatch/failure_step.cpp
@@ -2,8 +2,8 @@
 
 namespace pepperbay {
 namespace {
-/// Less time than this is not enough to connect, run and answer anywhere: a second attempt would
-/// only take a place from a request that can still be served.
+/// Less time is not enough to connect, run and answer on any engine: a retry would only take a slot
+/// from a request that can still be served.
 constexpr Duration kLeastUsefulTime = std::chrono::milliseconds(40);
 }
 
@@ -40,7 +40,7 @@
   RequestProgress later = aProgress;
   later.mHasTarget = true;
   later.mHasBudget = true;
-  // What has not run is refused instead, and told when to come back.
+  // A request that has not run is refused instead, with a time to retry after.
   const bool waits = aProgress.mMayHaveRun && aProgress.mPatience > Duration::zero();
   if (waits && WhyNotAgain(later).empty()) {
     return FailureStep::kWait;
--- a/src/pepperbay/dispatch/failure_step_test.cpp
+++ b/src/pepperbay/dispatch/failure_step_test.cpp
@@ -39,7 +39,7 @@
   RC_ASSERT(WhyNotAgain(progress).empty() == (AfterFailure(progress) == FailureStep::kSendAgain));
 }
 
-/// Guards against callers who are held without hope, or longer than they stay.
+/// Guards against keeping callers waiting when no attempt can follow, or longer than they wait.
 RC_GTEST_PROP(FailureStep, OnlyWhatMayBeSentAgainLaterWaits, ())
 {
   const RequestProgress progress = AnyProgress();
