--- a/include/pepperbay/routing/balancer.hpp
+++ b/include/pepperbay/routing/balancer.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief Which engine or replica a request goes to, from what is in progress there. Pure.
+/// @brief Chooses the engine or replica of a request by the requests in progress there. Pure.
 #pragma once
 
 #include "pepperbay/routing/failure_book.hpp"
@@ -14,60 +14,60 @@
 
 namespace pepperbay {
 
-/// How many requests may wait at a replica whose slots are taken.
+/// How the queue of a replica without free slots is limited.
 enum class QueueBound
 {
-  kShareOfSlots, ///< as many for every request
-  kInTime,       ///< as many as let a new request's first event come within its objective
+  kShareOfSlots, ///< the same share of the slots for every request
+  kInTime,       ///< so that a new request's first event is expected within its objective
 };
 
-/// Whether an engine's limit lets it take one more request.
+/// Whether an engine's rate limit allows one more request.
 enum class RateStanding
 {
-  kFree,      ///< it has none, as far as known
-  kMayTake,   ///< it has one, and something of it is left
-  kElsewhere, ///< another node counts what it gets
-  kExhausted, ///< nothing of it is left now
+  kFree,      ///< no limit is known
+  kMayTake,   ///< it has a limit that is not used up
+  kElsewhere, ///< another node holds the rate lease and counts its requests
+  kExhausted, ///< its limit is used up for now
 };
 
 using RateStandingFn = std::function<RateStanding(const EngineTarget&)>;
 
 struct BalancerOptions
 {
-  std::string mDataCentre; ///< of this node; ties go to engines of it
-  /// Other ties are broken by a hash with this seed: nodes that do not see each other's requests
-  /// would all send to the first of many idle engines.
+  std::string mDataCentre; ///< of this node; preferred in ties
+  /// Remaining ties are broken by a hash with this seed; otherwise nodes that do not see each
+  /// other's requests would all choose the first of many idle engines.
   std::uint64_t mSeed = 0;
-  /// An engine that fails or falls silent draws no first choice for so long. Long enough to span
-  /// the usual length of a partial fault, short enough to find its end.
+  /// For this long, an engine that failed or stopped answering is chosen only after all others.
+  /// Long enough to cover a typical partial fault, short enough to notice its end.
   Duration mFaultMemory = std::chrono::seconds(4);
-  /// Requests that may wait at a replica beyond its slots, as a share of the slots. A wait longer
-  /// than a caller's patience with a silent stream (two seconds) is a wasted place.
+  /// Queue limit of a replica beyond its slots, as a share of the slots. A wait longer than callers
+  /// tolerate on a stream without events (two seconds) is wasted.
   double mQueueShare = 0.5;
   QueueBound mQueueBound = QueueBound::kInTime;
-  /// The part of a request's objective that it may wait for a slot; the rest is for its prompt and
-  /// the first step.
+  /// Fraction of a request's objective that it may wait for a slot; the rest is for reading its
+  /// prompt and the first step.
   double mWaitShare = 0.5;
-  /// What counts against a replica, as time that a request's first event waits there. One request
-  /// more in progress slows each of the handful of steps before it by a hundredth.
+  /// The costs below are expected delays of a request's first event. Each request in progress slows
+  /// each of the few steps before that event by about 1 %.
   Duration mCrowdCost = std::chrono::microseconds(1500);
-  /// A request that finds no free slot waits for one to end: an answer takes about a second, and a
-  /// replica has some tens of slots.
+  /// Per request that is queued for a slot: an answer takes about a second, and a replica has some
+  /// tens of slots.
   Duration mQueueCost = std::chrono::milliseconds(60);
-  /// Another data centre: a round trip, and bytes that are paid for.
+  /// For another data centre: a round trip, and traffic that is paid for.
   Duration mRemoteCost = std::chrono::milliseconds(4);
-  /// A replica whose events come this many times slower than the fastest of its model's is slow,
-  /// as one member that runs slow makes it. Full replicas differ by less than half.
+  /// A replica whose events are this many times slower than those of its model's fastest replica
+  /// is slow; one slow member causes that. Full replicas differ by less than half.
   double mSlowRatio = 2.0;
   Duration mSlowCost = std::chrono::milliseconds(300);
-  /// Without an event for so long, what was known of a replica's pace is forgotten, so that a few
-  /// requests find out whether it has recovered.
+  /// After this time without an event, the measured pace of a replica is dropped, so that a few
+  /// requests test whether it has recovered.
   Duration mPaceMemory = std::chrono::seconds(3);
 };
 
-/// Counts of requests in progress by engine and the choice by them. Not for several threads.
+/// Counts requests in progress by engine and chooses engines by these counts. Not thread-safe.
 ///
-/// Each node knows its own requests at once and the others' from their last heartbeat. Reports of
+/// Own requests are counted at once, those of other nodes by their last heartbeat. Load reports of
 /// the engines would be older than both.
 class Balancer
 {
@@ -76,46 +76,46 @@
 
   void OnStart(const std::string& aEngine) { ++mOwn[aEngine]; }
   void OnEnd(const std::string& aEngine);
-  /// A request failed at an engine without an answer of its own.
+  /// A request failed at an engine without an answer from the engine.
   void OnFault(const std::string& aEngine, TimePoint aNow) { mFaultAt[aEngine] = aNow; }
-  /// An engine answered; old faults are forgotten sooner the more it answers.
+  /// An engine answered; each answer shortens the time that a past fault counts.
   void OnAnswer(const std::string& aEngine);
 
-  /// Heads that take nothing at the moment are not chosen.
+  /// Replica heads that currently refuse requests; they are not chosen.
   RefusalBook& Refusals() { return mRefusals; }
   const RefusalBook& Refusals() const { return mRefusals; }
 
-  /// Engines that fail requests which may run only once; such requests go there last.
+  /// Engines that fail requests which may run only once; such requests are sent there last.
   FailureBook& Failures() { return mFailures; }
 
-  /// Limits that engines name in their answers.
+  /// Rate limits that engines state in their answers.
   LimitBook& Limits() { return mLimits; }
   const LimitBook& Limits() const { return mLimits; }
 
-  /// The engine has started again: its faults, its pace and what it had to read are of the past.
+  /// The engine has restarted: drops its faults, pace, pending prompts, refusals and limit.
   void Forget(const std::string& aEngine);
 
-  /// A prompt was sent to a replica, by this node or another, that takes so long to read. Prompts
-  /// are read one after the other, between the steps of those that write.
+  /// A prompt that takes `aWork` to read was sent to a replica, by this node or another. A replica
+  /// reads prompts one after the other, between the decoding steps of other requests.
   void OnPrompt(const std::string& aHead, Duration aWork, TimePoint aNow);
-  /// Two events of one stream came so far apart.
+  /// Two consecutive events of one stream were `aPause` apart.
   void OnPause(const std::string& aHead, Duration aPause, TimePoint aNow);
 
   /// Requests in progress of this node, by engine.
   const std::unordered_map<std::string, int>& Own() const { return mOwn; }
 
-  /// What is asked of a choice among the engines of a plain service.
+  /// Criteria of a choice among the engines of a plain service (one without replicas).
   struct EngineQuery
   {
-    std::set<std::uint32_t> mTried; ///< engines to leave out, by ShortId()
+    std::set<std::uint32_t> mTried; ///< engines to exclude, by ShortId()
     bool mOnce = false;             ///< the request may run only once
     RateStandingFn mStanding;       ///< null: no engine has a limit
   };
-  /// What a choice among engines gave.
+  /// Result of a choice among engines.
   struct EngineChoice
   {
     const EngineTarget* mEngine = nullptr;
-    bool mLimited = false; ///< there are engines, but nothing is left of their limits
+    bool mLimited = false; ///< there are engines, but their rate limits are used up
   };
 
   EngineChoice PickEngine(const TrafficPlan& aPlan,
@@ -124,37 +124,37 @@
                           TimePoint aNow) const;
   /// @param aTried engines that this request has been sent to
   /// @param aOnce the request may run only once
-  /// @return null when there is none left
+  /// @return null if no engine is available
   const EngineTarget* PickEngine(const TrafficPlan& aPlan,
                                  const std::string& aService,
                                  const std::set<std::string>& aTried,
                                  bool aOnce,
                                  TimePoint aNow) const;
 
-  /// Engines that have lately failed requests.
+  /// Engines with a fault within the fault memory.
   std::vector<std::string> Faulty(TimePoint aNow) const;
 
-  /// What is asked of a choice among replicas.
+  /// Criteria of a choice among replicas.
   struct ReplicaQuery
   {
     std::string mModel;
     std::string mDataCentre; ///< of the node that sends the request
-    /// To the request's first event; zero: it is late in any case, or goes on after its first
-    /// event.
+    /// Target time to the request's first event; zero: it is late in any case, or it resumes after
+    /// its first event.
     Duration mObjective{ 0 };
-    std::set<std::uint32_t> mTried;  ///< heads to leave out, by ShortId()
-    std::set<std::uint32_t> mFaulty; ///< heads that come last
+    std::set<std::uint32_t> mTried;  ///< heads to exclude, by ShortId()
+    std::set<std::uint32_t> mFaulty; ///< heads chosen only after all others, by ShortId()
     RateStandingFn mStanding;        ///< null: no head has a limit
   };
-  /// What a choice among replicas gave.
+  /// Result of a choice among replicas.
   struct ReplicaChoice
   {
     const PoolReplica* mReplica = nullptr;
-    bool mFull = false;    ///< there are replicas, but each has all that it should hold, or refuses
-    bool mLimited = false; ///< some have room, but nothing is left of their limits
+    bool mFull = false;    ///< there are replicas, but each is at its limit of requests or refuses
+    bool mLimited = false; ///< some have room, but their rate limits are used up
   };
 
-  /// The replica of a model where a request's first event is expected soonest.
+  /// Chooses the replica of a model with the earliest expected first event.
   ReplicaChoice PickReplica(const TrafficPlan& aPlan,
                             const ServiceSpec& aService,
                             const std::string& aModel,
@@ -165,19 +165,19 @@
                             const ReplicaQuery& aQuery,
                             TimePoint aNow) const;
 
-  /// Requests in progress at an engine: this node's, and those that other desks have found places
-  /// for by the plan.
+  /// @return requests in progress at an engine: this node's, and those to which other slot
+  /// allocators have granted slots according to the plan.
   int InFlight(const TrafficPlan& aPlan, const std::string& aEngine) const;
 
-  /// @return requests that a replica of a model may have, waiting ones included, for one more with
-  /// this objective to be sent there.
+  /// @return the number of requests at a replica of a model, queued ones included, from which on no
+  /// further request with this objective is sent there.
   int MostAt(const EnginePool& aPool, const std::string& aModel, Duration aObjective) const;
 
 private:
   bool RecentFault(const std::string& aEngine, TimePoint aNow) const;
-  /// The mean pause between events, or zero when it is not known.
+  /// The mean pause between events; zero when unknown.
   Duration PauseOf(const std::string& aHead, TimePoint aNow) const;
-  /// The shortest mean pause of a model's replicas; zero when none is known.
+  /// The shortest mean pause among a model's replicas; zero when unknown.
   Duration FastestPause(const std::vector<PoolReplica>& aReplicas,
                         const std::string& aModel,
                         TimePoint aNow) const;
@@ -198,7 +198,8 @@
   BalancerOptions mOptions;
   std::unordered_map<std::string, int> mOwn;
   std::unordered_map<std::string, TimePoint> mFaultAt;
-  std::unordered_map<std::string, TimePoint> mReadsUntil; ///< prompts sent to a head
+  std::unordered_map<std::string, TimePoint>
+    mReadsUntil; ///< by head: when the prompts sent to it will have been read
   std::unordered_map<std::string, Pace> mPaces;
   RefusalBook mRefusals;
   FailureBook mFailures;
--- a/include/pepperbay/routing/failure_book.hpp
+++ b/include/pepperbay/routing/failure_book.hpp
@@ -1,5 +1,6 @@
 /// @file
-/// @brief Engines that fail requests which may run only once, as several nodes see them. Pure.
+/// @brief Engines that fail requests which may run only once, by the reports of several nodes.
+/// Pure.
 #pragma once
 
 #include "pepperbay/base/clock.hpp"
@@ -14,19 +15,21 @@
 
 struct FailureOptions
 {
-  /// A failure counts for so long, here and at nodes that are told of it.
+  /// How long a failure counts, here and at nodes that receive a report of it.
   Duration mMemory = std::chrono::seconds(2);
-  /// An engine fails by the word of so many nodes: any engine fails a request now and then.
+  /// Number of reporting nodes for an engine to count as failing: any engine occasionally fails a
+  /// request.
   std::size_t mLeastReporters = 2;
 };
 
-/// Each of many nodes sends an engine few requests that may run only once, and would learn that it
-/// fails them from failures of its own callers. So nodes tell their desk, and the desk tells all of
-/// them. Requests that may run again still go there, and find out when it has recovered.
+/// Each of many nodes sends an engine only a few requests that may run only once, and would detect
+/// a faulty engine only by failures of its own callers. So nodes report failures to their slot
+/// allocator, which notifies all of them. Repeatable requests are still sent to the engine and show
+/// when it has recovered.
 ///
 /// @code
 /// book.OnFailed(engine, now);              // here
-/// book.OnReport(node, ShortId(engine), now); // at a desk, by a node's word
+/// book.OnReport(node, ShortId(engine), now); // at a slot allocator, reported by a node
 /// if (book.Fails(ShortId(engine), now)) { ... choose another if there is one }
 /// @endcode
 class FailureBook
@@ -35,19 +38,19 @@
   FailureBook() = default;
   explicit FailureBook(FailureOptions aOptions);
 
-  /// An engine failed a request of this node that may not run again.
+  /// An engine failed a request of this node that may run only once.
   void OnFailed(const std::string& aEngine, TimePoint aNow);
-  /// A node says that an engine failed one of its own.
+  /// A node reports that an engine failed one of its requests.
   void OnReport(const std::string& aNode, std::uint32_t aEngine, TimePoint aNow);
-  /// A desk says that an engine fails by the word of several nodes.
+  /// A slot allocator reports that an engine fails according to several nodes.
   void OnTold(std::uint32_t aEngine, TimePoint aNow);
 
-  /// @return by ShortId(), the engines that have failed requests of this node lately.
+  /// @return the engines that recently failed requests of this node, by ShortId().
   std::vector<std::uint32_t> Own(TimePoint aNow) const;
-  /// @return by ShortId(), the engines that fail by the word of several nodes, this one included.
+  /// @return the engines that enough nodes, this one included, report as failing, by ShortId().
   std::vector<std::uint32_t> Agreed(TimePoint aNow) const;
   /// @param aEngine by ShortId()
-  /// @return whether it fails, as this node has seen or been told.
+  /// @return whether it fails, as observed by this node or reported to it.
   bool Fails(std::uint32_t aEngine, TimePoint aNow) const;
 
 private:
@@ -55,11 +58,11 @@
   {
     TimePoint mOwnUntil{};
     TimePoint mToldUntil{};
-    std::map<std::string, TimePoint> mReports; ///< by node, until when
+    std::map<std::string, TimePoint> mReports; ///< node to the report's expiry
   };
 
   bool IsAgreed(const Engine& aEngine, TimePoint aNow) const;
-  /// @return the engine's entry, without reports that are over.
+  /// Drops expired reports. @return the engine's entry.
   Engine& Entry(std::uint32_t aEngine, TimePoint aNow);
 
   FailureOptions mOptions;
--- a/include/pepperbay/routing/limit_book.hpp
+++ b/include/pepperbay/routing/limit_book.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// @brief Requests a second that engines take from all nodes together, as their answers name them.
-/// Pure.
+/// @brief Rate limits (requests per second from all nodes together) that engines state in their
+/// answers. Pure.
 #pragma once
 
 #include "pepperbay/base/clock.hpp"
@@ -15,79 +15,80 @@
 
 namespace pepperbay {
 
-/// Requests a second; what is above says nothing that could be kept.
+/// Requests per second; a larger stated limit is invalid.
 constexpr double kMostLimit = 1e6;
 
-/// What one answer of an engine says of its limit.
+/// The rate limit stated in one answer of an engine.
 struct LimitStatement
 {
-  WallTime mBorn{};                 ///< of the engine's start
-  std::optional<double> mPerSecond; ///< none: the engine names no limit
-  TimePoint mLeft{};                ///< when the request left for the engine
-  TimePoint mAnswered{};            ///< when the head of its answer came
+  WallTime mBorn{};                 ///< start time of the engine's incarnation
+  std::optional<double> mPerSecond; ///< none: the engine states no limit
+  TimePoint mLeft{};                ///< when the request was sent
+  TimePoint mAnswered{};            ///< when the answer's header was received
 };
 
-/// @return whether a number can be a limit: not negative, and less than any pool takes.
+/// @return whether a number is a valid limit: not negative, and not above the maximum.
 bool
 IsLimit(double aPerSecond);
 
-/// A limit without the answer that named it.
+/// The limit of one incarnation of an engine, without the answer that stated it.
 struct ToldLimit
 {
   std::uint32_t mEngine = 0;
-  WallTime mBorn{}; ///< of the engine's start
+  WallTime mBorn{}; ///< start time of the engine's incarnation
   double mPerSecond = 0;
 };
 
-/// What a statement changed.
+/// The effect of a statement.
 enum class LimitChange
 {
   kNone,
-  kLearned, ///< the engine has a limit from here on
-  kChanged, ///< it has another one
-  kOver,    ///< it names none any more
+  kLearned, ///< the engine now has a limit
+  kChanged, ///< its limit has changed
+  kOver,    ///< it no longer states a limit
 };
 
 const char*
 ToString(LimitChange aChange);
 
-/// Limits by engine. An engine names its limit in each answer for as long as it has one; answers
-/// overtake each other, so a statement counts by when its request left.
+/// Rate limits by engine. An engine states its limit in each answer while it has one. Answers may
+/// arrive out of order, so statements are ordered by when their requests were sent.
 ///
 /// @code
 /// if (book.OnStatement(ShortId(engine), statement) == LimitChange::kLearned) { ... }
-/// if (const auto limit = book.LimitOf(ShortId(engine), born, now)) { ... at most *limit a second }
+/// if (const auto limit = book.LimitOf(ShortId(engine), born, now)) { ... at most *limit per second
+/// }
 /// @endcode
 class LimitBook
 {
 public:
-  /// Requests of several nodes are ordered by when their places were granted; they leave at most so
-  /// much later.
+  /// Requests of several nodes are ordered by when their slots were granted; they are sent at most
+  /// this much later.
   static constexpr std::chrono::milliseconds kOrderSlack{ 30 };
-  /// What another node told is forgotten after this; it tells again with each of its answers.
+  /// A limit reported by another node expires after this; each of its answers repeats it.
   static constexpr std::chrono::seconds kToldFor{ 10 };
 
-  /// An answer of an engine, to this node or to one that says so.
+  /// An engine answered this node, or another node that reports the answer.
   LimitChange OnStatement(std::uint32_t aEngine, const LimitStatement& aStatement);
-  /// All limits of a service's engines that another node knows, in place of what it knew before.
+  /// Replaces the limits of a service's engines that another node has reported.
   void SetTold(const std::string& aService, std::vector<ToldLimit> aLimits, TimePoint aNow);
-  /// The engine has started again.
+  /// The engine has restarted.
   void Forget(std::uint32_t aEngine) { mEntries.erase(aEngine); }
-  /// Forget engines that are not listed any more.
+  /// Drops engines that are no longer listed.
   void Retain(const std::set<std::uint32_t>& aEngines);
 
-  /// @param aBorn of the start that is meant; another one's limit says nothing of it
-  /// @return requests a second by the engine's own answers; none where they name no limit.
+  /// @param aBorn start time of the engine's incarnation; limits of others are ignored
+  /// @return requests per second according to the engine's answers; none if they state no limit.
   std::optional<double> LimitOf(std::uint32_t aEngine, WallTime aBorn) const;
-  /// @return the same, or by what another node has told.
+  /// @return the same; failing that, the limit that another node has reported.
   std::optional<double> AnyLimitOf(std::uint32_t aEngine, WallTime aBorn, TimePoint aNow) const;
-  /// @return what the engine said last; null where it never named a limit.
+  /// @return the engine's latest statement; null if it never stated a limit.
   const LimitStatement* Find(std::uint32_t aEngine, WallTime aBorn) const;
-  /// @return whether a limit has been named or told of any engine.
+  /// @return whether neither a statement nor a report of a limit is stored.
   bool IsEmpty() const { return mEntries.empty() && mTold.empty(); }
-  /// @return how many engines have a limit by their own answers.
+  /// @return the number of engines whose answers state a limit.
   std::size_t Limited() const;
-  /// @return the limits that engines' own answers name.
+  /// @return the limits stated in engines' answers.
   std::vector<ToldLimit> Limits() const;
 
 private:
@@ -97,7 +98,7 @@
     TimePoint mAt{};
   };
 
-  std::unordered_map<std::uint32_t, LimitStatement> mEntries; ///< the newest of each engine
+  std::unordered_map<std::uint32_t, LimitStatement> mEntries; ///< the newest statement by engine
   std::map<std::string, Told> mTold;                          ///< by service
 };
 
--- a/include/pepperbay/routing/refusal_book.hpp
+++ b/include/pepperbay/routing/refusal_book.hpp
@@ -1,5 +1,6 @@
 /// @file
-/// @brief Heads of replicas that have lately refused requests, and when to ask them again. Pure.
+/// @brief Replica heads that recently refused requests, with a back-off before they are chosen
+/// again. Pure.
 #pragma once
 
 #include "pepperbay/base/clock.hpp"
@@ -13,23 +14,24 @@
 
 struct RefusalOptions
 {
-  /// A head that has refused is not chosen for so long; twice as long each time that it refuses
-  /// again, up to the most. Its members answer questions in some ten milliseconds.
+  /// After a refusal a head is not chosen for this long; the time doubles with each further
+  /// refusal, up to the maximum. A check of its members takes some ten milliseconds.
   Duration mFirstPause = std::chrono::milliseconds(100);
   Duration mMostPause = std::chrono::milliseconds(800);
-  /// A head that another node says refuses is not chosen for so long; it says so with each question
-  /// for a place.
+  /// A head that another node reports as refusing is not chosen for this long; the report is
+  /// repeated with each slot request.
   Duration mToldPause = std::chrono::milliseconds(100);
-  /// Nothing is known of a head any more so long after its last pause.
+  /// A head's entry is dropped this long after its last pause.
   Duration mForgetAfter = std::chrono::seconds(5);
 };
 
-/// When a member of a replica stops listening, its head takes nothing new and works on for what it
-/// has. It then has the least in progress of all and would be the best choice for everybody, until
-/// the holder of the lease finds out what is wrong. So a refusal counts at once.
+/// When a member of a replica stops responding, the head (the member that receives the replica's
+/// requests) refuses new requests and continues those it has. It soon has the fewest requests in
+/// progress and would be the first choice of all nodes until the holder of the lease detects the
+/// fault. So a refusal takes effect at once.
 ///
 /// @code
-/// if (book.OnRefused(head, sentAt, now)) { ... have its members asked }
+/// if (book.OnRefused(head, sentAt, now)) { ... request a check of its members }
 /// if (book.Refuses(ShortId(head), now)) { ... choose another }
 /// @endcode
 class RefusalBook
@@ -38,29 +40,30 @@
   RefusalBook() = default;
   explicit RefusalBook(RefusalOptions aOptions);
 
-  /// A head refused a request that was sent at a time.
-  /// @return whether that is news: requests sent before the head was known to refuse say nothing
+  /// A head refused a request that was sent at `aSentAt`.
+  /// @return whether this is new: refusals of requests sent before the current pause ended are
+  /// ignored
   bool OnRefused(const std::string& aHead, TimePoint aSentAt, TimePoint aNow);
-  /// A head took a request that was sent at a time.
+  /// A head accepted a request that was sent at `aSentAt`.
   void OnTaken(const std::string& aHead, TimePoint aSentAt);
-  /// Another node says that a head refuses.
+  /// Another node reports that a head refuses.
   void OnTold(std::uint32_t aHead, TimePoint aNow);
-  /// The head has started again.
+  /// The head has restarted.
   void Forget(const std::string& aHead);
 
   /// @param aHead by ShortId()
   bool Refuses(std::uint32_t aHead, TimePoint aNow) const;
-  /// @return by ShortId(), the heads that refuse by this node's own requests.
+  /// @return the heads that refused requests of this node and are paused, by ShortId().
   std::vector<std::uint32_t> Refusing(TimePoint aNow) const;
 
 private:
-  /// Forget what is long past: heads end, and what they refused once says nothing for ever.
+  /// Drops old entries, since heads exit and old refusals lose their meaning.
   void DropOld(TimePoint aNow);
 
   struct Refusal
   {
-    Duration mPause{ 0 }; ///< zero: only told
-    TimePoint mUntil{};   ///< by own requests
+    Duration mPause{ 0 }; ///< zero: only reported by other nodes
+    TimePoint mUntil{};   ///< pause after refusals of own requests
     TimePoint mToldUntil{};
   };
 
--- a/include/pepperbay/routing/route_table.hpp
+++ b/include/pepperbay/routing/route_table.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief The operator's configuration as typed values, and which route a request takes. Pure.
+/// @brief The operator's configuration as typed values, and the lookup of a request's route. Pure.
 #pragma once
 
 #include "pepperbay/base/clock.hpp"
@@ -14,15 +14,15 @@
 
 namespace pepperbay {
 
-/// What may be repeated.
+/// Whether a request may be repeated.
 enum class RequestKind
 {
   kSafe,         ///< may run more than once
   kUnrepeatable, ///< may run at most once
-  kStream,       ///< answered by events; unrepeatable unless the route can be resumed
+  kStream,       ///< answered by a stream of events; unrepeatable unless the route is resumable
 };
 
-/// A part of a route's traffic.
+/// A weighted share of a route's traffic.
 struct WeightedService
 {
   std::string mService;
@@ -35,16 +35,17 @@
   std::string mHost;
   std::string mPathPrefix; ///< begins and ends with a slash
   RequestKind mKind = RequestKind::kUnrepeatable;
-  bool mResumable = false; ///< streams only: may go on elsewhere after the last event passed on
-  bool mPublic = false;    ///< needs no key
-  Duration mTimeout = std::chrono::seconds(30);  ///< the longest a caller is kept waiting
+  bool mResumable =
+    false;              ///< streams only: another engine may resume after the last event passed on
+  bool mPublic = false; ///< needs no key
+  Duration mTimeout = std::chrono::seconds(30);  ///< maximum time to the answer
   Duration mObjective = std::chrono::seconds(1); ///< to the answer, or to a stream's first event
-  Duration mLongestPause{ 0 };                   ///< between events that are on time; 0: none given
+  Duration mLongestPause{ 0 };                   ///< between events that are on time; 0: not set
   int mPriority = 0;                             ///< 0 is the most urgent
-  int mMaxAttempts = 1;                          ///< engines to which one request may be sent
+  int mMaxAttempts = 1; ///< number of engines to which a request may be sent
   std::vector<WeightedService> mSplit;
 
-  /// @return whether the request may be sent again once an engine may have begun it.
+  /// @return whether a request may be sent again after an engine may have started it.
   bool Repeatable() const
   {
     return mKind == RequestKind::kSafe || (mKind == RequestKind::kStream && mResumable);
@@ -56,10 +57,10 @@
 {
   std::string mName;
   std::size_t mSize = 1; ///< engines of one replica
-  double mShare = 0;     ///< of the pool's engines, at the start
+  double mShare = 0;     ///< initial share of the pool's engines
   double mPace = 1.0;    ///< factor of all times of a replica
   Duration mLoadTime{ 0 };
-  Duration mWarmupTime{ 0 }; ///< joining with the weights already on the host
+  Duration mWarmupTime{ 0 }; ///< to join a replica with the weights already on the host
 };
 
 /// How the engines of a pool work; times are of one replica at pace 1.
@@ -71,7 +72,7 @@
   Duration mStepTimePerRequest{ 0 };
   double mPromptTokensPerSecond = 1;
   int mStepsPerEvent = 1;
-  Duration mFormTime{ 0 }; ///< from the order to open until the head serves
+  Duration mFormTime{ 0 }; ///< from the order to open a replica until its head serves
   double mLoadsPerSecond = 1;
   int mLoadsAtOnce = 1;
   double mUsualPrompt = 0; ///< tokens
@@ -80,8 +81,8 @@
   const ModelSpec* FindModel(const std::string& aName) const;
 };
 
-/// @return how long a usual answer takes at a replica of a model all of whose slots are taken; zero
-/// if the pool does not say.
+/// @return the duration of a usual answer at a replica of a model with all slots in use; zero if
+/// the pool does not specify it.
 Duration
 UsualAnswerTime(const EnginePool& aPool, const ModelSpec& aModel);
 
@@ -89,11 +90,11 @@
 {
   std::string mName;
   std::string mHealthPath;
-  int mMaxConnections = 0;         ///< of all callers to one engine; 0: not said
+  int mMaxConnections = 0;         ///< of all callers to one engine; 0: not set
   std::optional<EnginePool> mPool; ///< set for engines that serve models in replicas
 };
 
-/// What a caller may send and how long it may take.
+/// Limits of size and time for a caller's request.
 struct CallerLimits
 {
   std::size_t mHeaderBytes = 16384;
@@ -106,10 +107,10 @@
 {
   std::string mName;
   std::vector<std::string> mKeys;
-  std::optional<int> mPriority; ///< goes before the route's
+  std::optional<int> mPriority; ///< overrides the route's
 };
 
-/// One version of the operator's configuration, whole.
+/// One complete version of the operator's configuration.
 struct Configuration
 {
   std::uint64_t mVersion = 0;
@@ -137,8 +138,8 @@
   const std::vector<ServiceSpec>& Services() const { return mConfiguration.mServices; }
 
   /// @return the route of the host with the longest prefix of the path; null when there is none.
-  /// @param aHost as the caller sent it; a port and the case of letters do not matter
-  /// @param aPath may carry a query
+  /// @param aHost as the caller sent it; a port and letter case are ignored
+  /// @param aPath may include a query
   const Route* Find(std::string_view aHost, std::string_view aPath) const;
 
   /// @return whether requests must carry a customer's key.
@@ -148,8 +149,8 @@
 
   const ServiceSpec* FindService(const std::string& aName) const;
 
-  /// @return the service of a route's split that a request takes; the same request always takes
-  /// the same one. Null when the split names no service that exists.
+  /// @return the service of a route's split for a request; always the same for the same hash. Null
+  /// if the split names no existing service.
   const ServiceSpec* PickService(const Route& aRoute, std::uint64_t aRequestHash) const;
 
 private:
--- a/include/pepperbay/routing/router.hpp
+++ b/include/pepperbay/routing/router.hpp
@@ -1,10 +1,10 @@
 /// @file
-/// @brief Which replica a request goes to.
+/// @brief Chooses the replica of a request.
 ///
-/// Two random choices and the two replicas that the prompt's beginning belongs to, scored by
-/// expected first token: reported load corrected by what this node has sent since the report,
-/// prefix cache, stragglers, slow start. The work of one decision hardly grows with the fleet.
-/// Pure: tables are values, randomness is passed in.
+/// Candidates are some consecutive replicas from a random index on and the two that own the
+/// prompt's prefix on a hash ring. They are scored by expected time to first token: load of this
+/// node and of others, prefix cache, stragglers, slow start. The work per decision hardly grows
+/// with the number of replicas. Pure: tables are values, randomness is passed in.
 #pragma once
 
 #include "pepperbay/base/clock.hpp"
@@ -20,15 +20,16 @@
 
 namespace pepperbay {
 
-/// What this node has in progress on one generation of a replica. Shared by the traffic threads,
+/// This node's requests in progress on one generation of a replica. Shared by the traffic threads,
 /// which count, and the control thread, which closes; the only mutable part of a routing table.
 class ReplicaLoad
 {
 public:
-  /// Count a request in. @return false when the replica is closed; the request must go elsewhere.
+  /// Counts a new request. @return false if the replica is closed; choose another one then.
   ///
-  /// Counting comes before the check and closing before the read of the count, so a request that a
-  /// thread with an old table begins is either seen by the control thread or turned away here.
+  /// A request is counted before the check for closing, and the replica is closed before the count
+  /// is read. So a request of a thread with an old table is either seen by the control thread or
+  /// refused here.
   bool Enter();
   void Leave() { mInFlight.fetch_sub(1); }
   void Close() { mClosed.store(true); }
@@ -41,15 +42,16 @@
   std::atomic<bool> mClosed{ false };
 };
 
-/// What other nodes have in progress on a replica, from its reports.
+/// Estimates the requests of other nodes on a replica from its load reports.
 ///
-/// Reports lag by about as long as a request takes, so the newest one says little of this moment:
-/// nodes that follow it all crowd onto the replica that was idle a second ago. What lasts (a slow
-/// replica, an uneven split between nodes) shows in the mean; the moment is this node's own count.
+/// Reports lag by about the duration of a request, so the newest one does not describe the current
+/// load: nodes that follow it all choose the replica that was idle a second ago. The mean shows
+/// lasting differences (a slow replica, an uneven split between nodes); the current load is
+/// estimated from this node's own count.
 class OthersEstimate
 {
 public:
-  /// A new report, and what this node has in progress at its receipt.
+  /// A new report, with this node's own requests in progress at its receipt.
   void OnReport(int aReported, int aOwn);
   double Value() const;
 
@@ -65,15 +67,15 @@
   std::string mReplica;
   std::uint64_t mGeneration = 0;
   std::string mAddress; ///< of the member that takes requests
-  double mOthers = 0;   ///< what other nodes have in progress on it; see OthersEstimate
+  double mOthers = 0;   ///< estimated requests of other nodes on it; see OthersEstimate
   int mSlots = 1;
-  double mSlowness = 1.0; ///< its time to first token over the pool's median; 1 is usual
-  bool mEjected = false;  ///< a straggler; used only when there is nothing else
+  double mSlowness = 1.0; ///< its time to first token divided by the pool's median
+  bool mEjected = false;  ///< a straggler; used only if there is no other
   TimePoint mWholeSince{};
   std::shared_ptr<ReplicaLoad> mLoad;
 };
 
-/// A place on the ring of prefixes.
+/// A point on the hash ring of prefixes.
 struct RingPoint
 {
   std::uint64_t mAt = 0;
@@ -84,57 +86,57 @@
 struct Pool
 {
   std::vector<ReplicaTarget> mTargets; ///< this node's stable subset first
-  std::size_t mSubset = 0;             ///< how many of them are the subset
+  std::size_t mSubset = 0;             ///< size of the subset
   std::vector<RingPoint> mRing;        ///< see BuildRing()
 };
 
-/// Place the replicas on a ring, so that all nodes send a prompt's beginning to the same few
-/// replicas, which then hold it in their cache, without a message between nodes. Call it once the
-/// targets stand. A replica that comes or goes moves only its own part of the prefixes.
+/// Builds the hash ring of a pool, by which all nodes send prompts with the same prefix to the same
+/// few replicas, which then have it cached, without messages between nodes. Call it after the
+/// targets are set. A replica that is added or removed moves only its own share of the prefixes.
 void
 BuildRing(Pool* aPool);
 
 struct RoutingTable
 {
-  std::uint64_t mOffset = 0; ///< of the control stream that it is drawn from
+  std::uint64_t mOffset = 0; ///< of the control stream that the table reflects
   std::map<std::string, Pool> mPools;
-  std::map<std::string, std::vector<std::string>> mServices; ///< plain service to endpoints
+  std::map<std::string, std::vector<std::string>> mServices; ///< endpoints by plain service
 };
 
 struct RouteOptions
 {
   Duration mSlowStart =
-    std::chrono::seconds(10); ///< a replica that is whole again warms up so long
-  double mWarmest = 4.0;      ///< how much heavier load counts at the start of it
-  double mOthersWeight = 0.1; ///< of the others' mean load against this node's own part
-  double mNodes = 1;          ///< nodes that share the pool; each is taken to do its part
-  double mPrefixWorth = 2.0;  ///< load per slot that a cached prefix outweighs in a quiet pool
-  double mFullness = 0.0;     ///< part of the pool's slots in use, 0 to 1
-  double mPrefixEase = 0.4;   ///< free part of the pool from which on a prefix has its full worth
-  double mComfort = 1.0;      ///< load per slot from which waiting is likely
-  double mCrowded = 2.0;      ///< how much heavier load counts from there on
-  double mSpillAt = 1.0;      ///< load per slot from which the subset is left for the whole pool
+    std::chrono::seconds(10); ///< warm-up time of a replica that is complete again
+  double mWarmest = 4.0;      ///< load factor at the start of the warm-up
+  double mOthersWeight = 0.1; ///< weight of others' mean load against this node's own
+  double mNodes = 1;          ///< nodes that share the pool, assumed to carry equal load
+  double mPrefixWorth = 2.0;  ///< load per slot that a cached prefix outweighs in an idle pool
+  double mFullness = 0.0;     ///< fraction of the pool's slots in use, 0 to 1
+  double mPrefixEase = 0.4;   ///< free fraction of the pool from which a prefix has its full worth
+  double mComfort = 1.0;      ///< load per slot above which queueing is likely
+  double mCrowded = 2.0;      ///< load factor above mComfort
+  double mSpillAt = 1.0;      ///< load per slot from which the whole pool is used, not the subset
 };
 
-/// A request as routing sees it.
+/// The properties of a request that routing uses.
 struct RouteQuery
 {
   std::string mProfile;
   std::set<std::string> mAvoid; ///< replicas that have failed this request
-  /// Hash of the prompt's beginning; 0 when it has none worth caching.
+  /// Hash of the prompt's prefix; 0 if it is not worth caching.
   std::uint64_t mPrefix = 0;
 };
 
 /// The expected cost of a target; smaller is better.
-/// @param aCached how likely it is, 0 to 1, that the target holds the prompt's beginning
+/// @param aCached probability, 0 to 1, that the target has the prompt's prefix cached
 double
 Score(const ReplicaTarget& aTarget, double aCached, const RouteOptions& aOptions, TimePoint aNow);
 
-/// Choose a target and count the request in.
+/// Chooses a target and counts the request there.
 ///
 /// @param aRandom returns 64 random bits
-/// @return null when no replica of the profile can take it; otherwise the caller calls
-/// `mLoad->Leave()` when the attempt is over.
+/// @return null if no replica of the profile can take it; otherwise the caller must call
+/// `mLoad->Leave()` when the attempt ends.
 const ReplicaTarget*
 ChooseReplica(const RoutingTable& aTable,
               const RouteQuery& aQuery,
@@ -142,11 +144,11 @@
               TimePoint aNow,
               const std::function<std::uint64_t()>& aRandom);
 
-/// Replica to its recent time to first token.
+/// Recent time to first token, by replica.
 using FirstTokenTimes = std::map<std::string, Duration>;
 
-/// Mark stragglers: a target slower than `aFactor` times the median is ejected, but never more than
-/// `aMostShare` of a pool, or a general slowness would take all of it out.
+/// Marks stragglers: a target slower than `aFactor` times the median is ejected, but never more
+/// than `aMostShare` of a pool; otherwise a general slowdown could eject all of it.
 void
 EjectStragglers(Pool* aPool, const FirstTokenTimes& aTimes, double aFactor, double aMostShare);
 
--- a/include/pepperbay/routing/traffic_plan.hpp
+++ b/include/pepperbay/routing/traffic_plan.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief What traffic threads know of the control state: one immutable value, swapped whole.
+/// @brief The control state that traffic threads use: an immutable value, replaced as a whole.
 #pragma once
 
 #include "pepperbay/quarantine/suspects.hpp"
@@ -18,53 +18,55 @@
 /// An engine that takes requests.
 struct EngineTarget
 {
-  std::string mId; ///< a request names it, so that no other engine runs it
+  std::string mId; ///< sent with each request, so that no other engine runs it
   std::string mAddress;
   std::string mDataCentre;
-  WallTime mBorn{}; ///< of its start
+  WallTime mBorn{}; ///< start time of its incarnation
 };
 
-/// A replica that serves, reached through its head.
+/// A serving replica. Its head is the member that receives the replica's requests.
 struct PoolReplica
 {
   std::string mGroup;
   std::uint64_t mEpoch = 0;
   std::string mModel;
   EngineTarget mHead;
-  /// Takes no new requests: a member is lost or leaving and the replica is about to form anew.
+  /// Takes no new requests: a member is lost or leaving and the replica will be re-formed.
   bool mSuspended = false;
-  /// A member is known to be lost, so nothing in progress there goes on.
+  /// A member is known to be lost, so its requests in progress will not complete.
   bool mLost = false;
 };
 
-/// A node that finds places for the requests of others; see places/place_agent.hpp.
+/// A slot allocator: a node that grants slots to the requests of other nodes; see
+/// places/place_agent.hpp.
 struct DeskAddress
 {
   std::string mNode;
   std::string mAddress; ///< `IP:port`, UDP
 };
 
-/// Which word of the holder of the lease the replicas of a plan go by.
+/// The update by the holder of the lease that the replicas of a plan reflect.
 struct NewsMark
 {
-  std::uint64_t mFence = 0;  ///< the holder's tenure
-  std::uint64_t mChange = 0; ///< the last change that is in the plan
-  TimePoint mAsOf{};         ///< when the holder stood by it
+  std::uint64_t mFence = 0;  ///< fencing number of the holder's lease
+  std::uint64_t mChange = 0; ///< number of the last change in the plan
+  TimePoint mAsOf{};         ///< when the holder last confirmed it
 };
 
-/// The right to count the requests that go to engines with a limit, alone among all nodes.
+/// The exclusive right, among all nodes, to count the requests sent to engines with a rate limit.
 struct RateLease
 {
-  TimePoint mSince{}; ///< without a break
+  TimePoint mSince{}; ///< held without interruption since
   TimePoint mUntil{};
 };
 
-/// Who keeps the budget of second attempts of plain services; see retries/retry_agent.hpp.
+/// The retry budget owner of plain services (their engines are not grouped into replicas); see
+/// retries/retry_agent.hpp.
 struct RetryKeeperPlan
 {
-  std::string mAddress; ///< `IP:port`, UDP; empty: nobody is known, or this node
-  /// This node's own right to keep it; none: it does not. A node that has no others keeps it
-  /// always.
+  std::string mAddress; ///< `IP:port`, UDP; empty: no owner is known, or it is this node
+  /// This node's own lease on the budget; none: it is not the owner. A node without peers is always
+  /// the owner.
   std::optional<RateLease> mOwn =
     RateLease{ TimePoint{} - std::chrono::hours(1), TimePoint::max() };
 };
@@ -72,10 +74,10 @@
 /// By data centre of the engines.
 using RateLeases = std::map<std::string, RateLease>;
 
-/// Requests a second that engines take from all nodes together, by ShortId().
+/// Rate limits of engines for all nodes together, in requests per second, by ShortId().
 using EngineLimits = std::unordered_map<std::uint32_t, double>;
 
-/// The newest start of each engine that states one.
+/// The newest known incarnation of each engine that states its start time.
 using EngineStarts = std::unordered_map<std::string, WallTime>;
 
 /// `IP:port` of each registered engine, by id.
@@ -83,39 +85,39 @@
 
 struct TrafficPlan
 {
-  /// Configuration and registrations have both been read once: what is not here does not exist.
+  /// Configuration and registrations have both been read: what the plan lacks does not exist.
   bool mComplete = false;
   std::shared_ptr<const RouteTable> mRoutes; ///< null until a configuration is known
   std::map<std::string, std::vector<EngineTarget>> mEngines; ///< of plain services, by service
   std::map<std::string, std::vector<PoolReplica>> mReplicas; ///< by service
-  /// Engine to requests that other desks have found places for.
+  /// Requests with slots granted by other slot allocators, by engine.
   std::unordered_map<std::string, int> mOthersInFlight;
-  bool mIsDesk = true;             ///< this node finds places itself
-  std::vector<DeskAddress> mDesks; ///< others that find places for this node, best first
-  std::map<std::string, DeskAddress> mDesksOf; ///< of the other data centres, for a desk
+  bool mIsDesk = true;                         ///< this node is a slot allocator itself
+  std::vector<DeskAddress> mDesks;             ///< slot allocators for this node, best first
+  std::map<std::string, DeskAddress> mDesksOf; ///< of other data centres, used by a slot allocator
   EngineStarts mStarts;                        ///< of the listed engines
   /// Of the listed engines; null until they are known.
   std::shared_ptr<const EngineAddresses> mAddresses;
-  /// Peers that carry connections to engines for this node; null for none.
+  /// Peers that tunnel connections to engines for this node; null for none.
   std::shared_ptr<const ProxyPeers> mProxyPeers;
   NewsMark mNews;
-  /// Requests under which engines have ended; null where nothing is known yet.
+  /// Requests during which engines exited; null if nothing is known yet.
   std::shared_ptr<const SuspectRequests> mSuspects;
-  /// The configuration was the newest at this time for certain.
+  /// Latest time at which the configuration is known to have been the newest.
   TimePoint mConfigurationAsOf{};
-  /// When this node took the configuration in.
+  /// When this node received the configuration.
   TimePoint mConfigurationTaken{};
-  /// Keys of customers are known to be in force up to here; later, the configuration may have taken
-  /// one away unseen.
+  /// Customers' keys are known to be valid until this time; after it, a newer configuration may
+  /// have revoked one without this node's knowledge.
   TimePoint mKeysValidUntil{};
-  /// What the configuration does not have is known not to be there up to here; later, it may have
-  /// been added unseen.
+  /// Entries absent from the configuration are known not to exist until this time; after it, a
+  /// newer configuration may have added them without this node's knowledge.
   TimePoint mMissesValidUntil{};
-  RateLeases mRateLeases; ///< that this node holds
+  RateLeases mRateLeases; ///< held by this node
   RetryKeeperPlan mRetryKeeper;
-  EngineLimits mOthersLimits; ///< as the desks of other data centres tell them
-  int mListedNodes = 1;       ///< nodes that may be at work, those that are silent included
-  int mNodes = 1;             ///< nodes that share the work, this one included
+  EngineLimits mOthersLimits; ///< reported by slot allocators of other data centres
+  int mListedNodes = 1;       ///< nodes that may be serving, silent ones included
+  int mNodes = 1;             ///< nodes that share the load, this one included
 };
 
 } // namespace pepperbay
--- a/scripts/mutants/limits.sh
+++ b/scripts/mutants/limits.sh
@@ -31,7 +31,7 @@
   's/ \&\&$/ \&\& true ||/; s/         aStatement.mAnswered > aThan.mAnswered;/         false;/' \
   routing_limit_book_test '*AnswerThatCameBefore*'
 mutant "a former start's limit holds" $s/routing/limit_book.cpp \
-  's/it != mEntries.end\(\) \&\& it->second.mBorn == aBorn/it != mEntries.end()/' routing_limit_book_test '*OneStartsOnly*'
+  's/it != mEntries.end\(\) \&\& it->second.mBorn == aBorn/it != mEntries.end()/' routing_limit_book_test '*OneIncarnationOnly*'
 mutant "desks are not told that a limit is over" $places/place_limits.cpp \
   's/if \(aGrant.mPerSecond != aStatement.mPerSecond\)/if (aStatement.mPerSecond)/' $engines '*ChangesAndEnds*'
 mutant "a new holder gives the right at once" $s/coordinator/rate_leases.cpp \
--- a/src/pepperbay/routing/balancer.cpp
+++ b/src/pepperbay/routing/balancer.cpp
@@ -128,7 +128,7 @@
 void
 Balancer::OnPause(const std::string& aHead, Duration aPause, TimePoint aNow)
 {
-  constexpr int kWeight = 16; // of the past: about half a second of a busy replica
+  constexpr int kWeight = 16; // samples in the running mean: about 0.5 s of a busy replica
   Pace& pace = mPaces[aHead];
   if (aNow - pace.mLast > mOptions.mPaceMemory) {
     pace = Pace{};
@@ -213,7 +213,7 @@
       fastest = std::min(fastest, pause);
     }
   }
-  // Where nothing is known nothing is slow.
+  // Without measurements no replica counts as slow.
   return fastest == Duration::max() ? Duration::zero() : fastest;
 }
 
@@ -230,7 +230,7 @@
   if (answer <= Duration::zero()) {
     return share;
   }
-  // Slots come free one after the other, a usual answer's time apart over all of them.
+  // Each slot comes free once per usual answer time; the slots come free evenly spread over it.
   const double wait = std::chrono::duration<double>(aObjective).count() * mOptions.mWaitShare;
   const double places = wait * aPool.mSlots / std::chrono::duration<double>(answer).count();
   return std::min(share, aPool.mSlots + static_cast<int>(places));
--- a/src/pepperbay/routing/balancer_test.cpp
+++ b/src/pepperbay/routing/balancer_test.cpp
@@ -40,7 +40,7 @@
   bool mFull = false;
 };
 
-TEST(Balancer, SpreadsOverReplicasAndPrefersItsDataCentreALittle)
+TEST(Balancer, SpreadsOverReplicasAndSlightlyPrefersItsDataCentre)
 {
   PoolOfThree pool;
   std::map<std::string, int> picked;
@@ -61,7 +61,7 @@
   EXPECT_EQ(pool.Pick(), "c");
 }
 
-TEST(Balancer, LeavesOutLostSuspendedAndTriedReplicas)
+TEST(Balancer, ExcludesLostSuspendedAndTriedReplicas)
 {
   PoolOfThree pool;
   auto& replicas = pool.mPlan.mReplicas["pool"];
@@ -72,7 +72,7 @@
   EXPECT_FALSE(pool.mFull);
 }
 
-TEST(Balancer, SaysThatAllAreFull)
+TEST(Balancer, ReportsThatAllAreFull)
 {
   PoolOfThree pool;
   pool.mPlan.mOthersInFlight = { { "a", 9 }, { "b", 9 }, { "c", 9 } };
@@ -80,9 +80,9 @@
   EXPECT_TRUE(pool.mFull);
 }
 
-/// Pattern: twice as many requests as a pool serves in time. Guards against queues so long that
-/// every caller is late: the places that come free serve as many callers either way.
-TEST(Balancer, AQueueHoldsOnlyWhoCanStillBeInTime)
+/// Load of twice what a pool serves in time. Guards against queues so long that every caller is
+/// late: a longer queue does not increase the number of requests served.
+TEST(Balancer, AQueueHoldsOnlyRequestsThatCanBeInTime)
 {
   BalancerOptions options;
   options.mDataCentre = "here";
@@ -90,7 +90,7 @@
   EnginePool& engines = *pool.mService.mPool;
   engines.mSlots = 20;
   engines.mStepTime = std::chrono::milliseconds(10);
-  engines.mUsualAnswer = 100; // a second for an answer, 50 ms from one free slot to the next
+  engines.mUsualAnswer = 100; // an answer takes 1 s, so a slot comes free every 50 ms
   const Balancer balancer(options);
   EXPECT_EQ(balancer.MostAt(engines, "m", std::chrono::milliseconds(300)), 23);
   EXPECT_EQ(balancer.MostAt(engines, "m", std::chrono::milliseconds(100)), 21);
@@ -98,7 +98,8 @@
   EXPECT_EQ(balancer.MostAt(engines, "m", Duration::zero()), 30) << "late in any case";
   engines.mUsualAnswer = 0;
   engines.mUsualPrompt = 0;
-  EXPECT_EQ(balancer.MostAt(engines, "m", std::chrono::milliseconds(300)), 30) << "not known";
+  EXPECT_EQ(balancer.MostAt(engines, "m", std::chrono::milliseconds(300)), 30)
+    << "answer time unknown";
 }
 
 TEST(Balancer, AFaultIsRememberedAndForgotten)
@@ -110,8 +111,8 @@
   EXPECT_EQ(pool.Pick(), "a");
 }
 
-/// Pattern: prompts of two thousand tokens arrive at random; two that meet in one replica hold up
-/// every stream there for a quarter of a second, while its neighbours have none to read.
+/// Prompts of two thousand tokens arrive at random. Guards against two of them at one replica,
+/// which stall every stream there for a quarter of a second while other replicas have none to read.
 TEST(Balancer, PromptsDoNotMeetInOneReplica)
 {
   PoolOfThree pool;
@@ -124,7 +125,7 @@
   EXPECT_EQ(picked.size(), 3U);
 }
 
-/// What another node has sent counts like this node's own, until it has been read.
+/// A prompt sent by another node counts like this node's own until it has been read.
 TEST(Balancer, APromptOfAnotherNodeCountsUntilItIsRead)
 {
   PoolOfThree pool;
@@ -134,7 +135,7 @@
   EXPECT_EQ(pool.Pick(), "a");
 }
 
-/// Pattern: one member of a replica runs several times slower, and with it the whole replica.
+/// One slow member makes its whole replica several times slower.
 TEST(Balancer, ASlowReplicaIsAvoidedAndTriedAgain)
 {
   PoolOfThree pool;
@@ -176,9 +177,9 @@
   EXPECT_EQ(pick({ "x", "y" }), "");
 }
 
-/// Pattern: one of three engines answers errors. Guards against alerts that may run only once going
-/// on being sent there; requests that may run again find out when it has recovered.
-TEST(Balancer, RequestsThatMayRunOnlyOnceLeaveAnEngineThatFailsThem)
+/// One of three engines answers with errors. Guards against further alerts, which may run only
+/// once, being sent there; repeatable requests show when it has recovered.
+TEST(Balancer, RequestsThatMayRunOnlyOnceAvoidAnEngineThatFailsThem)
 {
   ManualClock clock;
   TrafficPlan plan;
@@ -188,13 +189,13 @@
   EXPECT_EQ(balancer.PickEngine(plan, "alerts", {}, true, clock.Now())->mId, "b");
   EXPECT_EQ(balancer.PickEngine(plan, "alerts", {}, false, clock.Now())->mId, "a");
   balancer.Failures().OnTold(ShortId("b"), clock.Now());
-  EXPECT_NE(balancer.PickEngine(plan, "alerts", {}, true, clock.Now()), nullptr) << "never all";
+  EXPECT_NE(balancer.PickEngine(plan, "alerts", {}, true, clock.Now()), nullptr)
+    << "one of them is still chosen";
 }
 
-/// Symptom: an engine that has started again gets no requests for seconds.
-/// Sequence: it fails requests, ends and starts again under its id.
-/// Cause: faults were remembered by id.
-TEST(Balancer, FaultsOfAFormerStartAreForgotten)
+/// Guards against remembering faults by id only: an engine that fails requests, exits and restarts
+/// under the same id would get no requests for seconds.
+TEST(Balancer, FaultsOfAStaleIncarnationAreForgotten)
 {
   ManualClock clock;
   Balancer balancer(BalancerOptions{});
--- a/src/pepperbay/routing/failure_book.cpp
+++ b/src/pepperbay/routing/failure_book.cpp
@@ -35,7 +35,8 @@
 void
 FailureBook::OnReport(const std::string& aNode, std::uint32_t aEngine, TimePoint aNow)
 {
-  // A node repeats its word with each question until its own memory ends; the first time counts.
+  // A node repeats a report with each slot request until its own memory of it ends; only the first
+  // sets the expiry.
   Entry(aEngine, aNow).mReports.try_emplace(aNode, aNow + mOptions.mMemory);
 }
 
--- a/src/pepperbay/routing/failure_book_test.cpp
+++ b/src/pepperbay/routing/failure_book_test.cpp
@@ -12,24 +12,24 @@
 
 const std::uint32_t kEngine = ShortId("engine");
 
-/// Pattern: one of three engines answers errors to half of its requests, each node sends it one now
-/// and then. Guards against each node's callers paying for what other nodes know.
+/// One of three engines fails half of its requests, and each node rarely sends it one. Guards
+/// against each node detecting the fault only by failures of its own callers.
 TEST(FailureBook, TwoNodesAgreeThatAnEngineFails)
 {
   FailureBook desk;
   TimePoint now{ seconds(1) };
   desk.OnReport("one", kEngine, now);
   desk.OnReport("one", kEngine, now);
-  EXPECT_TRUE(desk.Agreed(now).empty()) << "one node's word, said twice";
+  EXPECT_TRUE(desk.Agreed(now).empty()) << "one node's report, repeated";
   EXPECT_FALSE(desk.Fails(kEngine, now));
   desk.OnReport("two", kEngine, now);
   EXPECT_EQ(desk.Agreed(now), std::vector<std::uint32_t>{ kEngine });
   EXPECT_TRUE(desk.Fails(kEngine, now));
 }
 
-/// Guards against an engine that is avoided for ever after it has recovered: a node that repeats
-/// its word says nothing new.
-TEST(FailureBook, WhatIsNotSeenAgainIsForgotten)
+/// Guards against avoiding an engine for ever after it has recovered: a repeated report of the same
+/// node does not extend its expiry.
+TEST(FailureBook, AFailureThatIsNotSeenAgainIsForgotten)
 {
   FailureBook desk;
   TimePoint now{ seconds(1) };
@@ -46,7 +46,7 @@
   EXPECT_TRUE(desk.Agreed(now).empty());
 }
 
-TEST(FailureBook, ANodeGoesByItsOwnFailuresAndByWhatItIsTold)
+TEST(FailureBook, ANodeUsesItsOwnFailuresAndReports)
 {
   FailureBook node;
   TimePoint now{ seconds(1) };
@@ -56,7 +56,7 @@
   EXPECT_FALSE(node.Fails(kEngine, now + seconds(2)));
   node.OnTold(kEngine, now + seconds(2));
   EXPECT_TRUE(node.Fails(kEngine, now + seconds(2)));
-  EXPECT_TRUE(node.Own(now + seconds(2)).empty()) << "hearsay is not told on";
+  EXPECT_TRUE(node.Own(now + seconds(2)).empty()) << "received reports are not passed on";
   EXPECT_FALSE(node.Fails(kEngine, now + seconds(3)));
 }
 
--- a/src/pepperbay/routing/limit_book.cpp
+++ b/src/pepperbay/routing/limit_book.cpp
@@ -6,17 +6,17 @@
 namespace pepperbay {
 namespace {
 
-/// From an engine's answer until the node that counts its requests knows of it.
+/// Delay from an engine's answer until the node that counts its requests has been notified.
 constexpr std::chrono::milliseconds kTellingTakes{ 500 };
 
-/// @return whether a statement allows fewer requests than another.
+/// @return whether a statement allows fewer requests than the other.
 bool
 IsLower(const LimitStatement& aStatement, const LimitStatement& aThan)
 {
   return aStatement.mPerSecond && (!aThan.mPerSecond || *aStatement.mPerSecond < *aThan.mPerSecond);
 }
 
-/// In doubt about the order of two statements the lower limit counts.
+/// If the order of two statements is uncertain, the lower limit counts.
 bool
 IsNewer(const LimitStatement& aStatement, const LimitStatement& aThan)
 {
@@ -57,7 +57,7 @@
 bool
 IsLimit(double aPerSecond)
 {
-  return aPerSecond >= 0 && aPerSecond <= kMostLimit; // no number is neither
+  return aPerSecond >= 0 && aPerSecond <= kMostLimit; // NaN fails both comparisons
 }
 
 LimitChange
@@ -66,7 +66,7 @@
   const auto it = mEntries.find(aEngine);
   if (it == mEntries.end()) {
     if (!aStatement.mPerSecond) {
-      return LimitChange::kNone; // engines without a limit cost no memory
+      return LimitChange::kNone; // engines without a limit use no memory
     }
     mEntries[aEngine] = aStatement;
     return LimitChange::kLearned;
@@ -126,7 +126,7 @@
     return known->mPerSecond;
   }
   for (const auto& [service, told] : mTold) {
-    // Whoever told it may not have heard yet of what the engine has said here since.
+    // The reporting node may not know yet what the engine has stated to this node since.
     const bool older = known != nullptr && told.mAt < known->mAnswered + kTellingTakes;
     if (older || aNow - told.mAt >= kToldFor) {
       continue;
--- a/src/pepperbay/routing/limit_book_test.cpp
+++ b/src/pepperbay/routing/limit_book_test.cpp
@@ -14,7 +14,7 @@
 const WallTime kBorn{ milliseconds(1000) };
 const TimePoint kStart{ seconds(100) };
 
-/// An answer that took 200 ms, to a request that left so long after the start.
+/// An answer that took 200 ms, to a request sent this long after the start.
 LimitStatement
 Said(std::optional<double> aPerSecond, Duration aLeftAfter, WallTime aBorn = kBorn)
 {
@@ -38,7 +38,7 @@
   EXPECT_EQ(book.Limited(), 0U);
 }
 
-/// Guards against an answer that comes late lifting a limit, or bringing back one that is over.
+/// Guards against a late answer lifting a limit, or restoring one that has ended.
 TEST(LimitBook, AnAnswerToAnEarlierRequestChangesNothing)
 {
   LimitBook book;
@@ -51,9 +51,9 @@
   EXPECT_FALSE(book.LimitOf(kEngine, kBorn));
 }
 
-/// Guards against a limit that begins between two requests in progress being lifted by the quicker
-/// answer of the two.
-TEST(LimitBook, AnAnswerThatCameBeforeALimitWasNamedDoesNotLiftIt)
+/// Two requests are in progress when a limit begins. Guards against the quicker answer of the two
+/// lifting it.
+TEST(LimitBook, AnAnswerThatCameBeforeALimitWasStatedDoesNotLiftIt)
 {
   LimitBook book;
   LimitStatement slow = Said(3.4, milliseconds(0));
@@ -63,7 +63,7 @@
   EXPECT_EQ(book.LimitOf(kEngine, kBorn), 3.4);
 }
 
-TEST(LimitBook, ALimitIsOneStartsOnly)
+TEST(LimitBook, ALimitAppliesToOneIncarnationOnly)
 {
   LimitBook book;
   const WallTime later = kBorn + seconds(9);
@@ -71,7 +71,7 @@
   EXPECT_FALSE(book.LimitOf(kEngine, later));
   EXPECT_EQ(book.OnStatement(kEngine, Said({}, seconds(0), later)), LimitChange::kOver);
   EXPECT_EQ(book.OnStatement(kEngine, Said(3.4, seconds(3))), LimitChange::kNone)
-    << "of the former start";
+    << "of a stale incarnation";
   EXPECT_FALSE(book.LimitOf(kEngine, kBorn));
   book.OnStatement(kEngine, Said(2.0, seconds(4), later));
   book.Forget(kEngine);
@@ -88,12 +88,12 @@
   EXPECT_TRUE(book.LimitOf(2, kBorn));
 }
 
-/// Property: once an engine has named a limit, what holds in the end is what it said to the request
-/// that left last, however its answers overtake each other.
-RC_GTEST_PROP(LimitBookProperty, TheLastRequestsAnswerCountsInAnyOrder, ())
+/// Property: once an engine has stated a limit, its answer to the request that was sent last takes
+/// effect, whatever the order in which answers arrive.
+RC_GTEST_PROP(LimitBookProperty, TheAnswerToTheLastRequestCountsInAnyOrder, ())
 {
   const auto values =
-    *rc::gen::container<std::vector<int>>(rc::gen::inRange(0, 4)); // 0: names none
+    *rc::gen::container<std::vector<int>>(rc::gen::inRange(0, 4)); // 0: states none
   std::vector<std::size_t> order(values.size());
   std::iota(order.begin(), order.end(), 0);
   for (std::size_t i = order.size(); i > 1; --i) {
--- a/src/pepperbay/routing/refusal_book_test.cpp
+++ b/src/pepperbay/routing/refusal_book_test.cpp
@@ -14,7 +14,7 @@
 {
 protected:
   bool Refuses() const { return mBook.Refuses(ShortId(mHead), mNow); }
-  /// A request is sent and refused at once.
+  /// A request is sent and immediately refused.
   bool Refuse() { return mBook.OnRefused(mHead, mNow, mNow); }
 
   const std::string mHead = "h";
@@ -22,7 +22,7 @@
   RefusalBook mBook;
 };
 
-TEST_F(RefusalBookTest, AHeadIsAskedAgainAfterAPauseThatDoublesUpToABound)
+TEST_F(RefusalBookTest, AHeadIsChosenAgainAfterAPauseThatDoublesUpToALimit)
 {
   for (const int ms : { 100, 200, 400, 800, 800 }) {
     EXPECT_TRUE(Refuse());
@@ -33,8 +33,8 @@
   }
 }
 
-/// Requests that were on their way when the first one was refused lengthen nothing.
-TEST_F(RefusalBookTest, RefusalsOfRequestsSentBeforeAreNoNews)
+/// Refusals of requests that were in flight at the first refusal do not extend the pause.
+TEST_F(RefusalBookTest, RefusalsOfRequestsSentBeforeAreIgnored)
 {
   const TimePoint sent = mNow;
   mNow += milliseconds(5);
@@ -44,8 +44,8 @@
   EXPECT_FALSE(Refuses());
 }
 
-/// What a head took before it refused says nothing; what it takes after the pause clears it.
-TEST_F(RefusalBookTest, AHeadThatTakesARequestAgainIsForgiven)
+/// A request accepted before the refusal has no effect; one accepted after the pause clears it.
+TEST_F(RefusalBookTest, AHeadThatTakesARequestAgainIsCleared)
 {
   Refuse();
   mBook.OnTaken(mHead, mNow - milliseconds(50));
@@ -54,10 +54,10 @@
   mBook.OnTaken(mHead, mNow);
   Refuse();
   mNow += milliseconds(100);
-  EXPECT_FALSE(Refuses()) << "the pause is a first one again";
+  EXPECT_FALSE(Refuses()) << "the pause has its initial length again";
 }
 
-TEST_F(RefusalBookTest, AnotherNodesWordHoldsForAMomentAndIsNotPassedOn)
+TEST_F(RefusalBookTest, AnotherNodesReportExpiresSoonAndIsNotPassedOn)
 {
   mBook.OnTold(ShortId(mHead), mNow);
   EXPECT_TRUE(Refuses());
@@ -66,7 +66,7 @@
   EXPECT_FALSE(Refuses());
 }
 
-TEST_F(RefusalBookTest, WhatIsLongPastDoesNotLengthenAPause)
+TEST_F(RefusalBookTest, OldRefusalsDoNotLengthenAPause)
 {
   for (int i = 0; i < 4; ++i) {
     Refuse();
@@ -78,7 +78,7 @@
   EXPECT_FALSE(Refuses());
 }
 
-TEST_F(RefusalBookTest, AHeadThatStartedAgainIsAsGoodAsAny)
+TEST_F(RefusalBookTest, ARestartedHeadIsChosenAsAnyOther)
 {
   Refuse();
   mBook.Forget(mHead);
--- a/src/pepperbay/routing/route_table.cpp
+++ b/src/pepperbay/routing/route_table.cpp
@@ -5,7 +5,7 @@
 namespace pepperbay {
 namespace {
 
-/// Host names compare without their port and without regard to case.
+/// Host names are compared without port and letter case.
 std::string
 NormalHost(std::string_view aHost)
 {
@@ -100,7 +100,7 @@
   for (const auto& it : aRoute.mSplit) {
     total += it.mWeight;
   }
-  constexpr std::uint64_t kSteps = 1U << 20U; // fine enough for weights in percent
+  constexpr std::uint64_t kSteps = 1U << 20U; // resolves weights in percent
   double left = total * static_cast<double>(aRequestHash % kSteps) / static_cast<double>(kSteps);
   for (const auto& it : aRoute.mSplit) {
     left -= it.mWeight;
--- a/src/pepperbay/routing/route_table_test.cpp
+++ b/src/pepperbay/routing/route_table_test.cpp
@@ -68,7 +68,7 @@
   }
 }
 
-TEST(RouteTable, KnowsCustomersByTheirKeys)
+TEST(RouteTable, FindsCustomersByTheirKeys)
 {
   const RouteTable table(Shops());
   ASSERT_NE(table.CustomerOf("k2"), nullptr);
@@ -77,7 +77,7 @@
   EXPECT_EQ(table.CustomerOf(""), nullptr);
 }
 
-RC_GTEST_PROP(RouteTable, TheRouteIsThePrefixThatNoLongerOneBeats, ())
+RC_GTEST_PROP(RouteTable, TheRouteHasTheLongestMatchingPrefix, ())
 {
   const auto segments =
     *rc::gen::container<std::vector<std::string>>(4, rc::gen::element<std::string>("a", "b", "c"));
@@ -106,7 +106,7 @@
   RC_ASSERT((route == nullptr ? 0 : route->mPathPrefix.size()) == longest);
 }
 
-TEST(RouteTable, SplitsTrafficByWeightAndTheSameRequestAlike)
+TEST(RouteTable, SplitsTrafficByWeightAndEachRequestConsistently)
 {
   Configuration configuration = Shops();
   configuration.mRoutes[0].mSplit = { { "lots", 90 }, { "archive", 10 } };
--- a/src/pepperbay/routing/router.cpp
+++ b/src/pepperbay/routing/router.cpp
@@ -9,15 +9,16 @@
 
 constexpr int kTries = 8;
 constexpr int kPointsPerReplica = 8;
-/// Targets looked at in one decision, however large the subset is set.
+/// Maximum number of targets examined in one decision, whatever the size of the subset.
 constexpr std::size_t kMostConsidered = 64;
-/// How likely the owners of a prefix on the ring hold it, first and second.
+/// Probability that the first and second owner of a prefix on the ring have it cached.
 constexpr double kOwnerCached[] = { 0.9, 0.5 };
 
 constexpr double kReportSmoothing = 0.2;
 
-/// If each node keeps its own requests even over the replicas, their sum is even; so this node's
-/// own part, scaled up, is the better guess of this moment, and the others' mean only corrects it.
+/// If each node spreads its requests evenly over the replicas, the sum is even too. So this node's
+/// own load, scaled up, is the better estimate of the current load, and the others' mean load only
+/// corrects it.
 double
 LoadPerSlot(const ReplicaTarget& aTarget, const RouteOptions& aOptions)
 {
@@ -28,7 +29,7 @@
   return load / std::max(1, aTarget.mSlots);
 }
 
-/// Gathers candidates and keeps the best.
+/// Scores candidates and keeps the best.
 class Choice
 {
 public:
@@ -45,7 +46,7 @@
     if (!usable || &aTarget == mBest) {
       return;
     }
-    // A straggler is used only when there is nothing else.
+    // A straggler is used only if there is no other target.
     constexpr double kEjectedPenalty = 1e6;
     const double score =
       Score(aTarget, aCached, mOptions, mNow) + (aTarget.mEjected ? kEjectedPenalty : 0.0);
@@ -65,7 +66,7 @@
   double mScore = 0;
 };
 
-/// The two replicas that a prefix belongs to.
+/// The two replicas that own a prefix on the ring.
 void
 ConsiderOwners(const Pool& aPool, std::uint64_t aPrefix, Choice* aChoice)
 {
@@ -91,7 +92,7 @@
   }
 }
 
-/// Some targets from a random place on; equals are so taken in turn.
+/// Some consecutive targets from a random index, so that equal ones are chosen equally often.
 void
 ConsiderRange(const Pool& aPool,
               std::size_t aCount,
@@ -143,8 +144,8 @@
     load = (load + 1.0 / std::max(1, aTarget.mSlots)) *
            (1.0 + (aOptions.mWarmest - 1.0) * std::clamp(left, 0.0, 1.0));
   }
-  // In a full pool a request that goes after its prefix waits there while another replica has a
-  // free slot, and the wait costs more than the prefill it saves.
+  // In a full pool a request sent to the owner of its prefix waits there while another replica has
+  // a free slot, and the wait costs more than the prefill that it saves.
   const double ease = std::clamp((1.0 - aOptions.mFullness) / aOptions.mPrefixEase, 0.0, 1.0);
   const double crowded = std::max(0.0, load - aOptions.mComfort) * aOptions.mCrowded;
   return aTarget.mSlowness * (load + crowded + 1.0 - aOptions.mPrefixWorth * ease * aCached);
@@ -179,7 +180,7 @@
   }
   const Pool& pool = it->second;
   const std::size_t subset = std::clamp<std::size_t>(pool.mSubset, 1, pool.mTargets.size());
-  // A target may close between choice and entry; another choice is then made.
+  // A target may be closed between the choice and Enter(); another one is chosen then.
   for (int i = 0; i < kTries; ++i) {
     Choice choice(aQuery, aOptions, aNow);
     ConsiderOwners(pool, aQuery.mPrefix, &choice);
@@ -217,7 +218,7 @@
     }
   }
   if (sorted.size() < 3) {
-    return; // too few to tell which one is odd
+    return; // too few to identify an outlier
   }
   std::sort(sorted.begin(), sorted.end());
   const Duration median = std::max(sorted[sorted.size() / 2], Duration(1));
--- a/src/pepperbay/routing/router_test.cpp
+++ b/src/pepperbay/routing/router_test.cpp
@@ -40,7 +40,7 @@
   std::mt19937_64 mRandom{ 7 };
 };
 
-TEST(Routing, NothingUsableMeansNone)
+TEST(Routing, ReturnsNullWithoutAUsableReplica)
 {
   Router router;
   RoutingTable table = TableOf(3, 3);
@@ -65,7 +65,7 @@
   EXPECT_EQ(router.Choose(table, query)->mReplica, "r1");
 }
 
-TEST(Routing, EqualBeginningsMeetAtOneReplicaOnAllNodes)
+TEST(Routing, EqualPrefixesGoToOneReplicaOnAllNodes)
 {
   RoutingTable one = TableOf(20, 5);
   RoutingTable other = TableOf(20, 5);
@@ -83,10 +83,10 @@
   }
 }
 
-/// Symptom: at 1.2 times capacity fewer first tokens are in time than with round robin. Sequence:
-/// all slots are in use; a request goes after its prefix and waits there, while a slot elsewhere
-/// falls free. Cause: a prefix that is worth as much in a full pool as in a quiet one.
-TEST(Routing, InAFullPoolAFreeSlotCountsForMoreThanAPrefix)
+/// Guards against a prefix being worth as much in a full pool as in an idle one: all slots are in
+/// use, and a request waits at the owner of its prefix while a slot elsewhere comes free. At 1.2
+/// times capacity, fewer first tokens were in time than with round robin.
+TEST(Routing, InAFullPoolAFreeSlotOutweighsAPrefix)
 {
   for (const double fullness : { 0.5, 1.0 }) {
     RoutingTable table = TableOf(10, 10);
@@ -111,12 +111,13 @@
   for (int i = 0; i < 40; ++i) {
     ++sent[router.Choose(table, query)->mReplica];
   }
-  EXPECT_LE(sent[owner->mReplica], 2 * owner->mSlots) << "its cache is worth that much and no more";
-  EXPECT_GE(sent.size(), 9U) << "the rest is spread";
+  EXPECT_LE(sent[owner->mReplica], 2 * owner->mSlots)
+    << "the cached prefix outweighs no more load than this";
+  EXPECT_GE(sent.size(), 9U) << "the rest is spread over other replicas";
 }
 
-/// Symptom: after a report of "idle", one replica gets a burst until the next report.
-/// Cause: a report that lags, taken for the load of this moment.
+/// Guards against taking a stale report for the current load: a replica reported as idle would
+/// receive a burst until the next report.
 TEST(Routing, OwnSendsSinceTheReportCount)
 {
   RoutingTable table = TableOf(10, 10);
@@ -142,7 +143,7 @@
   EXPECT_GT(fresh, warm);
 }
 
-TEST(Routing, StragglersAreEjectedButNeverMoreThanAPart)
+TEST(Routing, StragglersAreEjectedUpToAShareOfThePool)
 {
   RoutingTable table = TableOf(10, 10);
   Pool& pool = table.mPools["p"];
@@ -157,7 +158,7 @@
             2);
 }
 
-/// What others have there on the mean counts too, though less than this node's own requests.
+/// The mean load of other nodes counts too, but less than this node's own requests.
 TEST(Routing, LastingLoadOfOthersIsAvoided)
 {
   RoutingTable table = TableOf(10, 10);
@@ -168,8 +169,8 @@
   EXPECT_EQ(router.Choose(table)->mReplica, "r4");
 }
 
-/// A thread with an old table enters while the control thread closes: whichever order the steps
-/// take, either the closer sees the request or the request is turned away.
+/// A thread with an old table enters while the control thread closes: in any order of the steps,
+/// either the control thread sees the request or the request is refused.
 RC_GTEST_PROP(Routing, ClosingSeesEveryRequestThatEnters, ())
 {
   const auto script = *rc::gen::container<std::vector<int>>(rc::gen::inRange(0, 3));
