--- a/cmake/Layers.cmake
+++ b/cmake/Layers.cmake
@@ -17,10 +17,10 @@
                   USES base) # pure
 pepperbay_library(reach SOURCES way_book.cpp proxy_choice.cpp tunnel_wire.cpp
                   TESTS way_book_test.cpp proxy_choice_test.cpp tunnel_wire_test.cpp USES base) # pure
-pepperbay_library(routing SOURCES router.cpp route_table.cpp find_engine.cpp balancer.cpp refusal_book.cpp failure_book.cpp
-                          limit_book.cpp
-                  TESTS router_test.cpp route_table_test.cpp balancer_test.cpp refusal_book_test.cpp
-                        failure_book_test.cpp limit_book_test.cpp
+pepperbay_library(routing SOURCES router.cpp route_table.cpp find_engine.cpp balancer.cpp refusal_tracker.cpp failure_tracker.cpp
+                          engine_limit_table.cpp
+                  TESTS router_test.cpp route_table_test.cpp balancer_test.cpp refusal_tracker_test.cpp
+                        failure_tracker_test.cpp engine_limit_table_test.cpp
                   USES base quarantine reach) # pure
 pepperbay_library(placement SOURCES planner.cpp survey.cpp orders.cpp reserves.cpp group_order.cpp
                           engine_state.cpp group_planner.cpp group_planner_orders.cpp
@@ -32,11 +32,11 @@
                         group_planner_starts_test.cpp group_planner_survivors_test.cpp
                         engine_state_test.cpp composition_test.cpp
                         group_planner_composition_test.cpp USES state membership routing) # pure
-pepperbay_library(admission SOURCES admission.cpp connection_gate.cpp earned_retries.cpp retry_budget.cpp token_bucket.cpp turn_book.cpp
-                  TESTS admission_test.cpp connection_gate_test.cpp token_bucket_test.cpp turn_book_test.cpp
+pepperbay_library(admission SOURCES admission.cpp connection_gate.cpp earned_retries.cpp retry_budget.cpp token_bucket.cpp fairness_tracker.cpp
+                  TESTS admission_test.cpp connection_gate_test.cpp token_bucket_test.cpp fairness_tracker_test.cpp
                   USES base) # pure
-pepperbay_library(dispatch SOURCES asked_engines.cpp attempt.cpp claims.cpp failure_step.cpp
-                  TESTS asked_engines_test.cpp attempt_test.cpp failure_step_test.cpp
+pepperbay_library(dispatch SOURCES attempted_engines.cpp attempt.cpp claims.cpp failure_step.cpp
+                  TESTS attempted_engines_test.cpp attempt_test.cpp failure_step_test.cpp
                   USES routing admission proto) # pure
 pepperbay_library(places SOURCES place_agent.cpp place_desk.cpp place_limits.cpp place_book.cpp rate_ledger.cpp
                           own_part.cpp
--- a/include/pepperbay/admission/turn_book.hpp
+++ b/include/pepperbay/admission/fairness_tracker.hpp
@@ -17,7 +17,7 @@
   std::uint32_t mCustomer = 0; ///< by ShortId()
 };
 
-struct TurnOptions
+struct FairnessOptions
 {
   /// A refused claimant counts as waiting for this long: about the time after which callers retry.
   Duration mWaits = std::chrono::seconds(1);
@@ -31,10 +31,10 @@
 /// @code
 /// if (turns.IsOutranked(claimant, now)) { turns.OnRefused(claimant, now); ... }
 /// @endcode
-class TurnBook
+class FairnessTracker
 {
 public:
-  explicit TurnBook(TurnOptions aOptions = {});
+  explicit FairnessTracker(FairnessOptions aOptions = {});
 
   void OnRefused(const Claimant& aClaimant, TimePoint aNow);
   void OnTaken(const Claimant& aClaimant, TimePoint aNow);
@@ -53,7 +53,7 @@
   double TakenBy(std::uint32_t aCustomer, TimePoint aNow) const;
   void DropOld(TimePoint aNow);
 
-  TurnOptions mOptions;
+  FairnessOptions mOptions;
   std::map<std::pair<int, std::uint32_t>, TimePoint> mRefused; ///< by urgency and customer
   std::map<std::uint32_t, Taken> mTaken;                       ///< by customer
 };
--- a/include/pepperbay/dispatch/asked_engines.hpp
+++ b/include/pepperbay/dispatch/attempted_engines.hpp
@@ -12,7 +12,7 @@
 
 /// The replica whose head (the member that receives its requests) the engine was when the request
 /// was sent; empty: none.
-struct AskedReplica
+struct AttemptedReplica
 {
   std::string mGroup;
   std::uint64_t mEpoch = 0;
@@ -26,13 +26,14 @@
 /// asked.OnNotTaken("e1");
 /// asked.OnceMore(formedAnew); // { "e1" }
 /// @endcode
-class AskedEngines
+class AttemptedEngines
 {
 public:
   /// @return whether the engine is the head of the same replica, re-formed since (a higher epoch).
-  using FormedAnew = std::function<bool(const std::string& aEngine, const AskedReplica& aAsked)>;
+  using FormedAnew =
+    std::function<bool(const std::string& aEngine, const AttemptedReplica& aAsked)>;
 
-  void OnSent(const std::string& aEngine, AskedReplica aReplica);
+  void OnSent(const std::string& aEngine, AttemptedReplica aReplica);
   /// The connection was not established: the engine did not get the request.
   void OnUnreached(const std::string& aEngine);
   /// The engine refused the request, or closed the pooled connection it was sent on without an
@@ -51,7 +52,7 @@
     int mTimes = 0;
     bool mNotTaken = false;
     bool mRefusedBefore = false; ///< mNotTaken, before the last attempt
-    AskedReplica mReplica;
+    AttemptedReplica mReplica;
   };
 
   std::map<std::string, Asked> mEngines;
--- a/include/pepperbay/places/rate_ledger.hpp
+++ b/include/pepperbay/places/rate_ledger.hpp
@@ -3,8 +3,8 @@
 /// out. Pure.
 #pragma once
 
+#include "pepperbay/admission/fairness_tracker.hpp"
 #include "pepperbay/admission/token_bucket.hpp"
-#include "pepperbay/admission/turn_book.hpp"
 #include "pepperbay/routing/traffic_plan.hpp"
 
 #include <cstdint>
@@ -90,7 +90,7 @@
   };
   struct Queue
   {
-    TurnBook mTurns;
+    FairnessTracker mTurns;
     TimePoint mPromised{}; ///< when the last one who was refused should come back
   };
 
--- a/include/pepperbay/relay/relay.hpp
+++ b/include/pepperbay/relay/relay.hpp
@@ -127,7 +127,7 @@
 {
   /// A replica's head has been silent; any thread's business but the relay's.
   std::function<void(const std::string& aHead, Duration aSilence)> mOnSuspect;
-  /// A replica's head refuses requests, or listens no more; told once a pause, see RefusalBook.
+  /// A replica's head refuses requests, or listens no more; told once a pause, see RefusalTracker.
   std::function<void(const std::string& aHead)> mOnRefused;
   /// An engine has ended that had this request.
   std::function<void(const RequestKey& aRequest, const EngineEnd& aEnd)> mOnEngineEnded;
--- a/include/pepperbay/routing/balancer.hpp
+++ b/include/pepperbay/routing/balancer.hpp
@@ -2,9 +2,9 @@
 /// @brief Chooses the engine or replica of a request by the requests in progress there. Pure.
 #pragma once
 
-#include "pepperbay/routing/failure_book.hpp"
-#include "pepperbay/routing/limit_book.hpp"
-#include "pepperbay/routing/refusal_book.hpp"
+#include "pepperbay/routing/engine_limit_table.hpp"
+#include "pepperbay/routing/failure_tracker.hpp"
+#include "pepperbay/routing/refusal_tracker.hpp"
 #include "pepperbay/routing/traffic_plan.hpp"
 
 #include <functional>
@@ -82,15 +82,15 @@
   void OnAnswer(const std::string& aEngine);
 
   /// Replica heads that currently refuse requests; they are not chosen.
-  RefusalBook& Refusals() { return mRefusals; }
-  const RefusalBook& Refusals() const { return mRefusals; }
+  RefusalTracker& Refusals() { return mRefusals; }
+  const RefusalTracker& Refusals() const { return mRefusals; }
 
   /// Engines that fail requests which may run only once; such requests are sent there last.
-  FailureBook& Failures() { return mFailures; }
+  FailureTracker& Failures() { return mFailures; }
 
   /// Rate limits that engines state in their answers.
-  LimitBook& Limits() { return mLimits; }
-  const LimitBook& Limits() const { return mLimits; }
+  EngineLimitTable& Limits() { return mLimits; }
+  const EngineLimitTable& Limits() const { return mLimits; }
 
   /// The engine has restarted: drops its faults, pace, pending prompts, refusals and limit.
   void Forget(const std::string& aEngine);
@@ -201,9 +201,9 @@
   std::unordered_map<std::string, TimePoint>
     mReadsUntil; ///< by head: when the prompts sent to it will have been read
   std::unordered_map<std::string, Pace> mPaces;
-  RefusalBook mRefusals;
-  FailureBook mFailures;
-  LimitBook mLimits;
+  RefusalTracker mRefusals;
+  FailureTracker mFailures;
+  EngineLimitTable mLimits;
 };
 
 } // namespace pepperbay
--- a/include/pepperbay/routing/limit_book.hpp
+++ b/include/pepperbay/routing/engine_limit_table.hpp
@@ -55,11 +55,12 @@
 /// arrive out of order, so statements are ordered by when their requests were sent.
 ///
 /// @code
-/// if (book.OnStatement(ShortId(engine), statement) == LimitChange::kLearned) { ... }
-/// if (const auto limit = book.LimitOf(ShortId(engine), born, now)) { ... at most *limit per second
+/// if (table.OnStatement(ShortId(engine), statement) == LimitChange::kLearned) { ... }
+/// if (const auto limit = table.LimitOf(ShortId(engine), born, now)) { ... at most *limit per
+/// second
 /// }
 /// @endcode
-class LimitBook
+class EngineLimitTable
 {
 public:
   /// Requests of several nodes are ordered by when their slots were granted; they are sent at most
--- a/include/pepperbay/routing/failure_book.hpp
+++ b/include/pepperbay/routing/failure_tracker.hpp
@@ -28,15 +28,15 @@
 /// when it has recovered.
 ///
 /// @code
-/// book.OnFailed(engine, now);              // here
-/// book.OnReport(node, ShortId(engine), now); // at a slot allocator, reported by a node
-/// if (book.Fails(ShortId(engine), now)) { ... choose another if there is one }
+/// tracker.OnFailed(engine, now);              // here
+/// tracker.OnReport(node, ShortId(engine), now); // at a slot allocator, reported by a node
+/// if (tracker.Fails(ShortId(engine), now)) { ... choose another if there is one }
 /// @endcode
-class FailureBook
+class FailureTracker
 {
 public:
-  FailureBook() = default;
-  explicit FailureBook(FailureOptions aOptions);
+  FailureTracker() = default;
+  explicit FailureTracker(FailureOptions aOptions);
 
   /// An engine failed a request of this node that may run only once.
   void OnFailed(const std::string& aEngine, TimePoint aNow);
--- a/include/pepperbay/routing/refusal_book.hpp
+++ b/include/pepperbay/routing/refusal_tracker.hpp
@@ -31,14 +31,14 @@
 /// fault. So a refusal takes effect at once.
 ///
 /// @code
-/// if (book.OnRefused(head, sentAt, now)) { ... request a check of its members }
-/// if (book.Refuses(ShortId(head), now)) { ... choose another }
+/// if (tracker.OnRefused(head, sentAt, now)) { ... request a check of its members }
+/// if (tracker.Refuses(ShortId(head), now)) { ... choose another }
 /// @endcode
-class RefusalBook
+class RefusalTracker
 {
 public:
-  RefusalBook() = default;
-  explicit RefusalBook(RefusalOptions aOptions);
+  RefusalTracker() = default;
+  explicit RefusalTracker(RefusalOptions aOptions);
 
   /// A head refused a request that was sent at `aSentAt`.
   /// @return whether this is new: refusals of requests sent before the current pause ended are
--- a/include/pepperbay/routing/router.hpp
+++ b/include/pepperbay/routing/router.hpp
@@ -69,7 +69,7 @@
   std::string mAddress; ///< of the member that takes requests
   double mOthers = 0;   ///< estimated requests of other nodes on it; see OthersEstimate
   int mSlots = 1;
-  double mSlowness = 1.0; ///< its time to first token divided by the pool's median
+  double mSlowness = 1.0; ///< its time to first token divided by the pool's median; 1: typical
   bool mEjected = false;  ///< a straggler; used only if there is no other
   TimePoint mWholeSince{};
   std::shared_ptr<ReplicaLoad> mLoad;
--- a/scripts/mutants/composition.sh
+++ b/scripts/mutants/composition.sh
@@ -25,10 +25,10 @@
   's/after \+= std::max\(Duration::zero\(\), most\).*/(void)part;/' relay_relay_test '*DifferentTimes*'
 mutant "an engine that fails alerts is chosen" $s/routing/balancer.cpp \
   's/const bool fails = aQuery.mOnce .*/const bool fails = false;/' routing_balancer_test '*OnlyOnce*'
-mutant "one node's word is enough" $s/routing/failure_book.cpp \
-  's/>= mOptions.mLeastReporters/>= 1/' routing_failure_book_test '*TwoNodes*'
-mutant "a node repeats its word for ever" $s/routing/failure_book.cpp \
+mutant "one node's word is enough" $s/routing/failure_tracker.cpp \
+  's/>= mOptions.mLeastReporters/>= 1/' routing_failure_tracker_test '*TwoNodes*'
+mutant "a node repeats its word for ever" $s/routing/failure_tracker.cpp \
   's/mReports.try_emplace\(aNode, aNow \+ mOptions.mMemory\);/mReports[aNode] = aNow + mOptions.mMemory;/' \
-  routing_failure_book_test '*Forgotten*'
+  routing_failure_tracker_test '*Forgotten*'
 mutant "desks tell nobody" $s/places/place_desk.cpp \
   's/aAnswer->add_failing\(it\);/(void)it;/' places_place_agent_test '*TellAll*'
--- a/scripts/mutants/limits.sh
+++ b/scripts/mutants/limits.sh
@@ -24,14 +24,14 @@
 mutant "a limit of zero is never tried again" $places/rate_ledger.cpp \
   's/std::max\(aPerSecond \* mOptions.mCountedPart, mOptions.mLeastPerSecond\);/aPerSecond * mOptions.mCountedPart;/' \
   $ledger '*ZeroIsTried*'
-mutant "an answer that overtook another counts" $s/routing/limit_book.cpp \
-  's/    return aStatement.mLeft \+ LimitBook::kOrderSlack > aThan.mLeft;/    return true;/' \
-  routing_limit_book_test '*AnAnswerToAnEarlierRequest*'
-mutant "a quicker answer lifts a limit that was named since" $s/routing/limit_book.cpp \
+mutant "an answer that overtook another counts" $s/routing/engine_limit_table.cpp \
+  's/    return aStatement.mLeft \+ EngineLimitTable::kOrderSlack > aThan.mLeft;/    return true;/' \
+  routing_engine_limit_table_test '*AnAnswerToAnEarlierRequest*'
+mutant "a quicker answer lifts a limit that was named since" $s/routing/engine_limit_table.cpp \
   's/ \&\&$/ \&\& true ||/; s/         aStatement.mAnswered > aThan.mAnswered;/         false;/' \
-  routing_limit_book_test '*AnswerThatCameBefore*'
-mutant "a former start's limit holds" $s/routing/limit_book.cpp \
-  's/it != mEntries.end\(\) \&\& it->second.mBorn == aBorn/it != mEntries.end()/' routing_limit_book_test '*OneIncarnationOnly*'
+  routing_engine_limit_table_test '*AnswerThatCameBefore*'
+mutant "a former start's limit holds" $s/routing/engine_limit_table.cpp \
+  's/it != mEntries.end\(\) \&\& it->second.mBorn == aBorn/it != mEntries.end()/' routing_engine_limit_table_test '*OneIncarnationOnly*'
 mutant "desks are not told that a limit is over" $places/place_limits.cpp \
   's/if \(aGrant.mPerSecond != aStatement.mPerSecond\)/if (aStatement.mPerSecond)/' $engines '*ChangesAndEnds*'
 mutant "a new holder gives the right at once" $s/coordinator/rate_leases.cpp \
--- a/src/pepperbay/admission/admission_test.cpp
+++ b/src/pepperbay/admission/admission_test.cpp
@@ -20,10 +20,10 @@
 }
 
 /// One node's admission with a clock.
-class Desk
+class TestNode
 {
 public:
-  explicit Desk(PoolState aPool, std::size_t aQueue = 100)
+  explicit TestNode(PoolState aPool, std::size_t aQueue = 100)
     : mAdmission(MakeOptions(aQueue))
   {
     mAdmission.SetPool(std::move(aPool));
@@ -56,52 +56,52 @@
 
 TEST(Admission, RunsWhileSlotsAreFreeThenWaits)
 {
-  Desk desk(PoolOf(2, { { "a", 0.5 } }));
-  EXPECT_EQ(desk.Arrive("a"), AdmissionVerdict::kRun);
-  EXPECT_EQ(desk.Arrive("a"), AdmissionVerdict::kRun) << "an unused share is lent";
-  EXPECT_EQ(desk.Arrive("a"), AdmissionVerdict::kWait);
-  desk.mAdmission.OnDone(1, seconds(1));
-  EXPECT_EQ(desk.mAdmission.Next(desk.mClock.Now()), std::vector<std::uint64_t>{ 3 });
+  TestNode node(PoolOf(2, { { "a", 0.5 } }));
+  EXPECT_EQ(node.Arrive("a"), AdmissionVerdict::kRun);
+  EXPECT_EQ(node.Arrive("a"), AdmissionVerdict::kRun) << "an unused share is lent";
+  EXPECT_EQ(node.Arrive("a"), AdmissionVerdict::kWait);
+  node.mAdmission.OnDone(1, seconds(1));
+  EXPECT_EQ(node.mAdmission.Next(node.mClock.Now()), std::vector<std::uint64_t>{ 3 });
 }
 
 TEST(Admission, ALentSlotReturnsAsSoonAsARequestEnds)
 {
-  Desk desk(PoolOf(4, { { "flood", 0.5 }, { "cook", 0.5 } }));
+  TestNode node(PoolOf(4, { { "flood", 0.5 }, { "cook", 0.5 } }));
   for (int i = 0; i < 20; ++i) {
-    desk.Arrive("flood");
+    node.Arrive("flood");
   }
-  EXPECT_EQ(desk.Arrive("cook"), AdmissionVerdict::kWait);
-  const std::uint64_t cook = desk.mLast;
-  desk.mAdmission.OnDone(1, seconds(1));
-  EXPECT_EQ(desk.mAdmission.Next(desk.mClock.Now()), std::vector<std::uint64_t>{ cook })
+  EXPECT_EQ(node.Arrive("cook"), AdmissionVerdict::kWait);
+  const std::uint64_t cook = node.mLast;
+  node.mAdmission.OnDone(1, seconds(1));
+  EXPECT_EQ(node.mAdmission.Next(node.mClock.Now()), std::vector<std::uint64_t>{ cook })
     << "ahead of earlier requests of the customer above its share";
 }
 
 TEST(Admission, UrgentRequestsGoFirstAndNoneStarves)
 {
-  Desk desk(PoolOf(1, { { "a", 1.0 } }));
-  desk.Arrive("a");
-  desk.Arrive("a", 5);
-  const std::uint64_t patient = desk.mLast;
-  desk.Arrive("a", 0);
-  const std::uint64_t alert = desk.mLast;
-  desk.mAdmission.OnDone(1, seconds(1));
-  EXPECT_EQ(desk.mAdmission.Next(desk.mClock.Now()).front(), alert);
-  desk.mClock.Advance(seconds(30)); // six levels of age
-  desk.Arrive("a", 0);
-  desk.mAdmission.OnDone(alert, seconds(1));
-  EXPECT_EQ(desk.mAdmission.Next(desk.mClock.Now()).front(), patient);
+  TestNode node(PoolOf(1, { { "a", 1.0 } }));
+  node.Arrive("a");
+  node.Arrive("a", 5);
+  const std::uint64_t patient = node.mLast;
+  node.Arrive("a", 0);
+  const std::uint64_t alert = node.mLast;
+  node.mAdmission.OnDone(1, seconds(1));
+  EXPECT_EQ(node.mAdmission.Next(node.mClock.Now()).front(), alert);
+  node.mClock.Advance(seconds(30)); // six levels of age
+  node.Arrive("a", 0);
+  node.mAdmission.OnDone(alert, seconds(1));
+  EXPECT_EQ(node.mAdmission.Next(node.mClock.Now()).front(), patient);
 }
 
 TEST(Admission, RefusesOnArrivalWhatCannotBeInTime)
 {
-  Desk desk(PoolOf(1, { { "a", 1.0 } }));
+  TestNode node(PoolOf(1, { { "a", 1.0 } }));
   for (int i = 0; i < 6; ++i) {
-    desk.Arrive("a");
+    node.Arrive("a");
   }
-  EXPECT_EQ(desk.Arrive("a", 5, seconds(3)), AdmissionVerdict::kRefuse);
-  EXPECT_GE(desk.mDecision.mRetryAfter, seconds(5)) << "derived from the current queue";
-  EXPECT_EQ(desk.Arrive("a", 5, seconds(30)), AdmissionVerdict::kWait);
+  EXPECT_EQ(node.Arrive("a", 5, seconds(3)), AdmissionVerdict::kRefuse);
+  EXPECT_GE(node.mDecision.mRetryAfter, seconds(5)) << "derived from the current queue";
+  EXPECT_EQ(node.Arrive("a", 5, seconds(30)), AdmissionVerdict::kWait);
 }
 
 /// Guards against a queue as long as the deadlines allow: requests with long deadlines fill it with
@@ -109,7 +109,7 @@
 /// answers were complete, 10 in 100 had their first token in time, and refusals took six seconds.
 TEST(Admission, RefusesWhatWouldWaitLongerThanTheLongestWait)
 {
-  AdmissionOptions options = Desk::MakeOptions(100);
+  AdmissionOptions options = TestNode::MakeOptions(100);
   options.mLongestWait = milliseconds(500);
   Admission admission(options);
   admission.SetPool(PoolOf(10, { { "a", 1.0 } })); // one request ends every 100 ms
@@ -133,7 +133,7 @@
 
 TEST(Admission, APoolOfOneSlotStillHasAQueueOfOne)
 {
-  AdmissionOptions options = Desk::MakeOptions(100);
+  AdmissionOptions options = TestNode::MakeOptions(100);
   options.mLongestWait = milliseconds(500);
   Admission admission(options);
   admission.SetPool(PoolOf(1, { { "a", 1.0 } }));
@@ -152,28 +152,28 @@
 /// than they did on its arrival, and the refusal comes after nine of its ten seconds.
 TEST(Admission, GivesUpAWaitingRequestAsSoonAsItsTurnWouldComeTooLate)
 {
-  Desk desk(PoolOf(1, { { "a", 1.0 } }));
+  TestNode node(PoolOf(1, { { "a", 1.0 } }));
   for (int i = 0; i < 5; ++i) {
-    desk.Arrive("a", 5, seconds(10));
+    node.Arrive("a", 5, seconds(10));
   }
-  EXPECT_TRUE(desk.mAdmission.Hopeless(desk.mClock.Now()).empty());
-  desk.mAdmission.OnDone(1, seconds(4)); // four times the assumed time
-  const auto given = desk.mAdmission.Hopeless(desk.mClock.Now());
+  EXPECT_TRUE(node.mAdmission.Hopeless(node.mClock.Now()).empty());
+  node.mAdmission.OnDone(1, seconds(4)); // four times the assumed time
+  const auto given = node.mAdmission.Hopeless(node.mClock.Now());
   ASSERT_EQ(given.size(), 3U) << "one waits 4 s and takes 4 s more; the second would need 12 s";
   EXPECT_GE(given.front().mDecision.mRetryAfter, seconds(4));
 }
 
 TEST(Admission, AFullQueueGivesUpTheLeastUrgentForAnAlert)
 {
-  Desk desk(PoolOf(1, { { "a", 0.5 }, { "b", 0.5 } }), 2);
-  desk.Arrive("a");
-  desk.Arrive("a", 9);
-  desk.Arrive("a", 8);
-  EXPECT_EQ(desk.Arrive("b", 0), AdmissionVerdict::kWait);
-  ASSERT_EQ(desk.mGivenUp.size(), 1U);
-  EXPECT_EQ(desk.mGivenUp.front().mId, 2U);
-  EXPECT_GT(desk.mGivenUp.front().mDecision.mRetryAfter, Duration::zero());
-  EXPECT_EQ(desk.Arrive("a", 9), AdmissionVerdict::kRefuse);
+  TestNode node(PoolOf(1, { { "a", 0.5 }, { "b", 0.5 } }), 2);
+  node.Arrive("a");
+  node.Arrive("a", 9);
+  node.Arrive("a", 8);
+  EXPECT_EQ(node.Arrive("b", 0), AdmissionVerdict::kWait);
+  ASSERT_EQ(node.mGivenUp.size(), 1U);
+  EXPECT_EQ(node.mGivenUp.front().mId, 2U);
+  EXPECT_GT(node.mGivenUp.front().mDecision.mRetryAfter, Duration::zero());
+  EXPECT_EQ(node.Arrive("a", 9), AdmissionVerdict::kRefuse);
 }
 
 /// Guards against all nodes filling the same free slots at once, and against a node that is
@@ -183,13 +183,13 @@
   PoolState pool = PoolOf(90, { { "a", 1.0 } });
   pool.mNodes = 9;
   pool.mOthers["a"].mRunning = 45;
-  Desk desk(pool);
-  EXPECT_LE(desk.mAdmission.Allowance(), 10U);
+  TestNode node(pool);
+  EXPECT_LE(node.mAdmission.Allowance(), 10U);
   pool.mOthers.clear();
   pool.mUsageAt += seconds(1);
   pool.mSilentNodes = 8;
-  desk.mAdmission.SetPool(pool);
-  EXPECT_EQ(desk.mAdmission.Allowance(), 10U);
+  node.mAdmission.SetPool(pool);
+  EXPECT_EQ(node.mAdmission.Allowance(), 10U);
 }
 
 /// Several nodes share one pool with stale views: customers come and go at random, and the nodes
@@ -206,7 +206,7 @@
   pool.mNodes = kNodes;
   std::vector<Admission> nodes;
   for (int i = 0; i < kNodes; ++i) {
-    nodes.emplace_back(Desk::MakeOptions(20));
+    nodes.emplace_back(TestNode::MakeOptions(20));
     nodes.back().SetPool(pool);
   }
   ManualClock clock;
--- a/src/pepperbay/admission/connection_gate_test.cpp
+++ b/src/pepperbay/admission/connection_gate_test.cpp
@@ -11,7 +11,7 @@
 using std::chrono::seconds;
 
 constexpr milliseconds kTick{ 20 };
-constexpr milliseconds kLate{ 60 };
+constexpr milliseconds kHighLag{ 60 };
 
 class Gate
 {
@@ -40,7 +40,7 @@
 {
   Gate gate;
   gate.Run(50, seconds(30), milliseconds(0));
-  EXPECT_EQ(gate.Run(100, seconds(5), kLate), 500);
+  EXPECT_EQ(gate.Run(100, seconds(5), kHighLag), 500);
 }
 
 /// Guards against refusing a moderate increase that the node could serve.
@@ -57,7 +57,7 @@
 {
   Gate gate;
   gate.Run(2, seconds(30), milliseconds(0));
-  EXPECT_EQ(gate.Run(1000, milliseconds(180), kLate), 180);
+  EXPECT_EQ(gate.Run(1000, milliseconds(180), kHighLag), 180);
 }
 
 /// After a restart of all nodes their callers reconnect at once.
@@ -80,8 +80,8 @@
 {
   Gate gate;
   gate.Run(50, seconds(30), milliseconds(0));
-  gate.Run(1000, seconds(10), kLate);
-  EXPECT_LT(gate.Run(1000, seconds(1), kLate), 2 * 50);
+  gate.Run(1000, seconds(10), kHighLag);
+  EXPECT_LT(gate.Run(1000, seconds(1), kHighLag), 2 * 50);
 }
 
 /// A process without free file descriptors can neither accept a connection nor connect to an
@@ -201,14 +201,14 @@
 /// its requests in time.
 TEST(ConnectionGate, RequestsReadInABurstAreServedInTime)
 {
-  for (const double rush : { 60.0, 160.0, 400.0, 1200.0, 5000.0 }) {
+  for (const double burst : { 60.0, 160.0, 400.0, 1200.0, 5000.0 }) {
     Node node;
     node.Serve(20, seconds(60));
-    node.Serve(rush, seconds(3));
-    const Node::Count count = node.Run(rush, seconds(5));
-    EXPECT_GE(count.mInTime, 0.95 * count.mRead) << rush;
-    EXPECT_GE(count.mRead + 1, std::min(rush, 160.0) * 5)
-      << rush << ": refused requests that it could serve";
+    node.Serve(burst, seconds(3));
+    const Node::Count count = node.Run(burst, seconds(5));
+    EXPECT_GE(count.mInTime, 0.95 * count.mRead) << burst;
+    EXPECT_GE(count.mRead + 1, std::min(burst, 160.0) * 5)
+      << burst << ": refused requests that it could serve";
   }
 }
 
--- a/src/pepperbay/admission/turn_book.cpp
+++ b/src/pepperbay/admission/fairness_tracker.cpp
@@ -1,4 +1,4 @@
-#include "pepperbay/admission/turn_book.hpp"
+#include "pepperbay/admission/fairness_tracker.hpp"
 
 #include <algorithm>
 #include <cmath>
@@ -13,13 +13,13 @@
 
 } // namespace
 
-TurnBook::TurnBook(TurnOptions aOptions)
+FairnessTracker::FairnessTracker(FairnessOptions aOptions)
   : mOptions(aOptions)
 {
 }
 
 double
-TurnBook::TakenBy(std::uint32_t aCustomer, TimePoint aNow) const
+FairnessTracker::TakenBy(std::uint32_t aCustomer, TimePoint aNow) const
 {
   const auto it = mTaken.find(aCustomer);
   if (it == mTaken.end()) {
@@ -31,7 +31,7 @@
 }
 
 void
-TurnBook::DropOld(TimePoint aNow)
+FairnessTracker::DropOld(TimePoint aNow)
 {
   for (auto it = mRefused.begin(); it != mRefused.end();) {
     it = aNow - it->second >= mOptions.mWaits ? mRefused.erase(it) : std::next(it);
@@ -42,7 +42,7 @@
 }
 
 void
-TurnBook::OnRefused(const Claimant& aClaimant, TimePoint aNow)
+FairnessTracker::OnRefused(const Claimant& aClaimant, TimePoint aNow)
 {
   DropOld(aNow);
   if (mRefused.size() < kMostKept) {
@@ -51,7 +51,7 @@
 }
 
 void
-TurnBook::OnTaken(const Claimant& aClaimant, TimePoint aNow)
+FairnessTracker::OnTaken(const Claimant& aClaimant, TimePoint aNow)
 {
   DropOld(aNow);
   const double before = TakenBy(aClaimant.mCustomer, aNow);
@@ -61,7 +61,7 @@
 }
 
 bool
-TurnBook::IsOutranked(const Claimant& aClaimant, TimePoint aNow) const
+FairnessTracker::IsOutranked(const Claimant& aClaimant, TimePoint aNow) const
 {
   const double own = TakenBy(aClaimant.mCustomer, aNow);
   return std::any_of(mRefused.begin(), mRefused.end(), [&](const auto& aRefused) {
@@ -75,7 +75,7 @@
 }
 
 bool
-TurnBook::IsEmpty(TimePoint aNow) const
+FairnessTracker::IsEmpty(TimePoint aNow) const
 {
   return std::all_of(mRefused.begin(),
                      mRefused.end(),
--- a/src/pepperbay/admission/turn_book_test.cpp
+++ b/src/pepperbay/admission/fairness_tracker_test.cpp
@@ -1,4 +1,4 @@
-#include "pepperbay/admission/turn_book.hpp"
+#include "pepperbay/admission/fairness_tracker.hpp"
 
 #include "pepperbay/admission/token_bucket.hpp"
 
@@ -13,9 +13,9 @@
 
 const TimePoint kStart{ seconds(100) };
 
-TEST(TurnBook, TheMoreUrgentGoFirstWhileTheyWait)
+TEST(FairnessTracker, TheMoreUrgentGoFirstWhileTheyWait)
 {
-  TurnBook turns;
+  FairnessTracker turns;
   EXPECT_FALSE(turns.IsOutranked({ 5, 1 }, kStart));
   turns.OnRefused({ 2, 2 }, kStart);
   EXPECT_TRUE(turns.IsOutranked({ 5, 1 }, kStart));
@@ -25,9 +25,9 @@
     << "they no longer count as waiting";
 }
 
-TEST(TurnBook, AtEqualUrgencyTheCustomerGrantedLessGoesFirst)
+TEST(FairnessTracker, AtEqualUrgencyTheCustomerGrantedLessGoesFirst)
 {
-  TurnBook turns;
+  FairnessTracker turns;
   turns.OnTaken({ 1, 1 }, kStart);
   turns.OnTaken({ 1, 1 }, kStart);
   turns.OnRefused({ 1, 2 }, kStart);
@@ -37,9 +37,9 @@
 }
 
 /// Guards against a customer with many callers taking most of a small rate.
-TEST(TurnBook, ACustomerWithTenTimesTheCallersGetsNoMoreOfASmallRate)
+TEST(FairnessTracker, ACustomerWithTenTimesTheCallersGetsNoMoreOfASmallRate)
 {
-  TurnBook turns;
+  FairnessTracker turns;
   TokenBucket bucket({ 4.0, 2.0 }, kStart);
   std::mt19937 random(7);
   int got[2] = { 0, 0 };
@@ -58,9 +58,9 @@
   EXPECT_GE(got[1], got[0] * 6 / 10);
 }
 
-TEST(TurnBook, ForgetsAllEventually)
+TEST(FairnessTracker, ForgetsAllEventually)
 {
-  TurnBook turns;
+  FairnessTracker turns;
   turns.OnTaken({ 1, 1 }, kStart);
   turns.OnRefused({ 1, 2 }, kStart);
   EXPECT_FALSE(turns.IsEmpty(kStart));
--- a/src/pepperbay/coordinator/coordinator_rate_leases.cpp
+++ b/src/pepperbay/coordinator/coordinator_rate_leases.cpp
@@ -1,5 +1,5 @@
 #include "coordinator_impl.hpp"
-#include "pepperbay/routing/limit_book.hpp"
+#include "pepperbay/routing/engine_limit_table.hpp"
 
 #include <algorithm>
 #include <set>
--- a/src/pepperbay/dispatch/asked_engines.cpp
+++ b/src/pepperbay/dispatch/attempted_engines.cpp
@@ -1,4 +1,4 @@
-#include "pepperbay/dispatch/asked_engines.hpp"
+#include "pepperbay/dispatch/attempted_engines.hpp"
 
 #include <utility>
 
@@ -10,7 +10,7 @@
 } // namespace
 
 void
-AskedEngines::OnSent(const std::string& aEngine, AskedReplica aReplica)
+AttemptedEngines::OnSent(const std::string& aEngine, AttemptedReplica aReplica)
 {
   Asked& asked = mEngines[aEngine];
   ++asked.mTimes;
@@ -19,7 +19,7 @@
 }
 
 void
-AskedEngines::OnUnreached(const std::string& aEngine)
+AttemptedEngines::OnUnreached(const std::string& aEngine)
 {
   const auto it = mEngines.find(aEngine);
   if (it == mEngines.end()) {
@@ -32,7 +32,7 @@
 }
 
 void
-AskedEngines::OnNotTaken(const std::string& aEngine)
+AttemptedEngines::OnNotTaken(const std::string& aEngine)
 {
   const auto it = mEngines.find(aEngine);
   if (it != mEngines.end()) {
@@ -41,7 +41,7 @@
 }
 
 std::set<std::string>
-AskedEngines::OnceMore(const FormedAnew& aFormedAnew) const
+AttemptedEngines::OnceMore(const FormedAnew& aFormedAnew) const
 {
   std::set<std::string> engines;
   for (const auto& [engine, asked] : mEngines) {
--- a/src/pepperbay/dispatch/asked_engines_test.cpp
+++ b/src/pepperbay/dispatch/attempted_engines_test.cpp
@@ -1,4 +1,4 @@
-#include "pepperbay/dispatch/asked_engines.hpp"
+#include "pepperbay/dispatch/attempted_engines.hpp"
 
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
@@ -9,15 +9,15 @@
 using Names = std::set<std::string>;
 
 bool
-Never(const std::string& /*aEngine*/, const AskedReplica& /*aAsked*/)
+Never(const std::string& /*aEngine*/, const AttemptedReplica& /*aAsked*/)
 {
   return false;
 }
 
 /// Guards against cutting a stream because a refusal used up the attempts of its route.
-TEST(AskedEngines, OneThatDidNotTakeItMayBeAskedOnceMore)
+TEST(AttemptedEngines, OneThatDidNotTakeItMayBeAskedOnceMore)
 {
-  AskedEngines asked;
+  AttemptedEngines asked;
   asked.OnSent("a", { "g", 1 });
   asked.OnSent("b", { "h", 1 });
   asked.OnNotTaken("b");
@@ -29,26 +29,26 @@
 }
 
 /// Guards against cutting a stream although the head that ran it accepts requests again.
-TEST(AskedEngines, AHeadOfAReFormedReplicaMayBeAskedOnceMore)
+TEST(AttemptedEngines, AHeadOfAReFormedReplicaMayBeAskedOnceMore)
 {
-  AskedEngines asked;
+  AttemptedEngines asked;
   asked.OnSent("a", { "g", 1 });
   std::uint64_t epoch = 1;
-  const auto formed = [&epoch](const std::string& aEngine, const AskedReplica& aAsked) {
+  const auto reFormed = [&epoch](const std::string& aEngine, const AttemptedReplica& aAsked) {
     return aEngine == "a" && aAsked.mGroup == "g" && epoch > aAsked.mEpoch;
   };
-  EXPECT_EQ(asked.OnceMore(formed), Names{});
+  EXPECT_EQ(asked.OnceMore(reFormed), Names{});
   epoch = 2;
-  EXPECT_EQ(asked.OnceMore(formed), (Names{ "a" }));
+  EXPECT_EQ(asked.OnceMore(reFormed), (Names{ "a" }));
   asked.OnSent("a", { "g", 2 });
   epoch = 3;
-  EXPECT_EQ(asked.OnceMore(formed), Names{});
+  EXPECT_EQ(asked.OnceMore(reFormed), Names{});
 }
 
 /// Guards against attempts being used up by engines that were never reached.
-TEST(AskedEngines, OneThatWasNotReachedDoesNotCount)
+TEST(AttemptedEngines, OneThatWasNotReachedDoesNotCount)
 {
-  AskedEngines asked;
+  AttemptedEngines asked;
   asked.OnSent("a", {});
   asked.OnUnreached("a");
   EXPECT_EQ(asked.Count(), 0);
@@ -60,15 +60,15 @@
 }
 
 /// Guards against retrying the same engine repeatedly.
-RC_GTEST_PROP(AskedEngines, NoEngineIsOfferedAThirdTime, ())
+RC_GTEST_PROP(AttemptedEngines, NoEngineIsOfferedAThirdTime, ())
 {
-  AskedEngines asked;
+  AttemptedEngines asked;
   std::map<std::string, int> sent;
   for (int i = 0; i < 30; ++i) {
     const std::string engine(1, static_cast<char>('a' + *rc::gen::inRange(0, 4)));
     const bool formed = *rc::gen::arbitrary<bool>();
-    const auto formedAnew = [formed](const std::string&, const AskedReplica&) { return formed; };
-    const Names again = asked.OnceMore(formedAnew);
+    const auto reFormed = [formed](const std::string&, const AttemptedReplica&) { return formed; };
+    const Names again = asked.OnceMore(reFormed);
     for (const auto& it : again) {
       RC_ASSERT(sent[it] == 1);
     }
@@ -82,14 +82,14 @@
 }
 
 /// Guards against excluding an engine that refused once and was not reached on the second attempt.
-TEST(AskedEnginesTest, OneThatRefusedMayBeAskedAfterAFailedConnection)
+TEST(AttemptedEnginesTest, OneThatRefusedMayBeAskedAfterAFailedConnection)
 {
-  AskedEngines asked;
+  AttemptedEngines asked;
   asked.OnSent("e1", { "g1", 7 });
   asked.OnNotTaken("e1");
   asked.OnSent("e1", { "g1", 7 });
   asked.OnUnreached("e1");
-  const auto never = [](const std::string&, const AskedReplica&) { return false; };
+  const auto never = [](const std::string&, const AttemptedReplica&) { return false; };
   EXPECT_EQ(asked.OnceMore(never), std::set<std::string>{ "e1" });
 }
 
--- a/src/pepperbay/places/place_limits.cpp
+++ b/src/pepperbay/places/place_limits.cpp
@@ -267,7 +267,7 @@
 {
   const proto::PlaceAnswer& answer = aMessage.answer();
   const std::uint32_t id = ShortId(aHead.mId);
-  LimitBook& limits = mBalancer->Limits();
+  EngineLimitTable& limits = mBalancer->Limits();
   if (answer.has_limit() && !answer.limit().has_per_second()) {
     const LimitStatement over = StatementOf(answer.limit(), Now());
     NoteChange(id, limits.OnStatement(id, over), over, aMessage.node());
--- a/src/pepperbay/places/place_wire.hpp
+++ b/src/pepperbay/places/place_wire.hpp
@@ -2,7 +2,7 @@
 /// @brief Values of place messages and their typed form.
 #pragma once
 
-#include "pepperbay/routing/limit_book.hpp"
+#include "pepperbay/routing/engine_limit_table.hpp"
 
 #include <algorithm>
 #include <pepperbay.pb.h>
--- a/src/pepperbay/relay/exchange.cpp
+++ b/src/pepperbay/relay/exchange.cpp
@@ -150,7 +150,7 @@
   if (!mService->mPool) {
     return;
   }
-  RefusalBook& refusals = mCore->mBalancer.Refusals();
+  RefusalTracker& refusals = mCore->mBalancer.Refusals();
   if (!aFacts.mNotRun) {
     refusals.OnTaken(engine, aSending.mSentAt);
   } else if (refusals.OnRefused(engine, aSending.mSentAt, mCore->Now()) &&
--- a/src/pepperbay/relay/exchange.hpp
+++ b/src/pepperbay/relay/exchange.hpp
@@ -3,7 +3,7 @@
 #pragma once
 
 #include "attempt.hpp"
-#include "pepperbay/dispatch/asked_engines.hpp"
+#include "pepperbay/dispatch/attempted_engines.hpp"
 #include "pepperbay/dispatch/failure_step.hpp"
 #include "pepperbay/quarantine/request_key.hpp"
 #include "pepperbay/relay/event_splitter.hpp"
@@ -307,7 +307,7 @@
   std::uint64_t mLastSerial = 0;
   std::set<std::string> mTried;     ///< engines that come into question no more
   std::set<std::string> mUnreached; ///< second engines that took no connection; asked after others
-  AskedEngines mAsked;
+  AttemptedEngines mAsked;
   std::optional<StaleConnection> mStale; ///< the last, until it is known what became of its engine
   bool mAvoidsKept = false;   ///< a connection was closed under it; kept ones may be dead as well
   bool mMoving = false;       ///< asks for a place elsewhere
--- a/src/pepperbay/relay/exchange_sending.cpp
+++ b/src/pepperbay/relay/exchange_sending.cpp
@@ -190,7 +190,7 @@
   if (!mService->mPool || !mRoute->Repeatable()) {
     return {};
   }
-  const auto formedAnew = [this](const std::string& aEngine, const AskedReplica& aAsked) {
+  const auto formedAnew = [this](const std::string& aEngine, const AttemptedReplica& aAsked) {
     const PoolReplica* replica = ReplicaInPlan(aAsked.mGroup);
     return replica != nullptr && replica->mHead.mId == aEngine && replica->mEpoch > aAsked.mEpoch;
   };
--- a/src/pepperbay/relay/relay_core.hpp
+++ b/src/pepperbay/relay/relay_core.hpp
@@ -70,8 +70,8 @@
   Balancer mBalancer;
   PlaceAgent mPlaces;
   StallDetector mStalls;
-  RefusalBook mGoneHeads; ///< heads that listen no more, as told to the holder
-  RetryAgent mRetries;    ///< of plain services; places are asked for by mPlaces
+  RefusalTracker mGoneHeads; ///< heads that listen no more, as told to the holder
+  RetryAgent mRetries;       ///< of plain services; places are asked for by mPlaces
   ConnectionPool mConnections;
   EngineConnector mConnector;
   EndingProbe mEndings;
--- a/src/pepperbay/routing/limit_book.cpp
+++ b/src/pepperbay/routing/engine_limit_table.cpp
@@ -1,4 +1,4 @@
-#include "pepperbay/routing/limit_book.hpp"
+#include "pepperbay/routing/engine_limit_table.hpp"
 
 #include <algorithm>
 #include <utility>
@@ -21,9 +21,9 @@
 IsNewer(const LimitStatement& aStatement, const LimitStatement& aThan)
 {
   if (IsLower(aStatement, aThan)) {
-    return aStatement.mLeft + LimitBook::kOrderSlack > aThan.mLeft;
+    return aStatement.mLeft + EngineLimitTable::kOrderSlack > aThan.mLeft;
   }
-  return aStatement.mLeft > aThan.mLeft + LimitBook::kOrderSlack &&
+  return aStatement.mLeft > aThan.mLeft + EngineLimitTable::kOrderSlack &&
          aStatement.mAnswered > aThan.mAnswered;
 }
 
@@ -61,7 +61,7 @@
 }
 
 LimitChange
-LimitBook::OnStatement(std::uint32_t aEngine, const LimitStatement& aStatement)
+EngineLimitTable::OnStatement(std::uint32_t aEngine, const LimitStatement& aStatement)
 {
   const auto it = mEntries.find(aEngine);
   if (it == mEntries.end()) {
@@ -87,7 +87,9 @@
 }
 
 void
-LimitBook::SetTold(const std::string& aService, std::vector<ToldLimit> aLimits, TimePoint aNow)
+EngineLimitTable::SetTold(const std::string& aService,
+                          std::vector<ToldLimit> aLimits,
+                          TimePoint aNow)
 {
   if (aLimits.empty()) {
     mTold.erase(aService);
@@ -97,7 +99,7 @@
 }
 
 void
-LimitBook::Retain(const std::set<std::uint32_t>& aEngines)
+EngineLimitTable::Retain(const std::set<std::uint32_t>& aEngines)
 {
   for (auto it = mEntries.begin(); it != mEntries.end();) {
     it = aEngines.count(it->first) == 0 ? mEntries.erase(it) : std::next(it);
@@ -105,21 +107,21 @@
 }
 
 const LimitStatement*
-LimitBook::Find(std::uint32_t aEngine, WallTime aBorn) const
+EngineLimitTable::Find(std::uint32_t aEngine, WallTime aBorn) const
 {
   const auto it = mEntries.find(aEngine);
   return it != mEntries.end() && it->second.mBorn == aBorn ? &it->second : nullptr;
 }
 
 std::optional<double>
-LimitBook::LimitOf(std::uint32_t aEngine, WallTime aBorn) const
+EngineLimitTable::LimitOf(std::uint32_t aEngine, WallTime aBorn) const
 {
   const LimitStatement* known = Find(aEngine, aBorn);
   return known != nullptr ? known->mPerSecond : std::nullopt;
 }
 
 std::optional<double>
-LimitBook::AnyLimitOf(std::uint32_t aEngine, WallTime aBorn, TimePoint aNow) const
+EngineLimitTable::AnyLimitOf(std::uint32_t aEngine, WallTime aBorn, TimePoint aNow) const
 {
   const LimitStatement* known = Find(aEngine, aBorn);
   if (known != nullptr && known->mPerSecond) {
@@ -141,7 +143,7 @@
 }
 
 std::vector<ToldLimit>
-LimitBook::Limits() const
+EngineLimitTable::Limits() const
 {
   std::vector<ToldLimit> limits;
   for (const auto& [engine, statement] : mEntries) {
@@ -153,7 +155,7 @@
 }
 
 std::size_t
-LimitBook::Limited() const
+EngineLimitTable::Limited() const
 {
   return static_cast<std::size_t>(
     std::count_if(mEntries.begin(), mEntries.end(), [](const auto& aEntry) {
--- a/src/pepperbay/routing/failure_book.cpp
+++ b/src/pepperbay/routing/failure_tracker.cpp
@@ -1,4 +1,4 @@
-#include "pepperbay/routing/failure_book.hpp"
+#include "pepperbay/routing/failure_tracker.hpp"
 
 #include "pepperbay/base/hash.hpp"
 
@@ -6,13 +6,13 @@
 
 namespace pepperbay {
 
-FailureBook::FailureBook(FailureOptions aOptions)
+FailureTracker::FailureTracker(FailureOptions aOptions)
   : mOptions(aOptions)
 {
 }
 
-FailureBook::Engine&
-FailureBook::Entry(std::uint32_t aEngine, TimePoint aNow)
+FailureTracker::Engine&
+FailureTracker::Entry(std::uint32_t aEngine, TimePoint aNow)
 {
   for (auto it = mEngines.begin(); it != mEngines.end();) {
     auto& reports = it->second.mReports;
@@ -27,13 +27,13 @@
 }
 
 void
-FailureBook::OnFailed(const std::string& aEngine, TimePoint aNow)
+FailureTracker::OnFailed(const std::string& aEngine, TimePoint aNow)
 {
   Entry(ShortId(aEngine), aNow).mOwnUntil = aNow + mOptions.mMemory;
 }
 
 void
-FailureBook::OnReport(const std::string& aNode, std::uint32_t aEngine, TimePoint aNow)
+FailureTracker::OnReport(const std::string& aNode, std::uint32_t aEngine, TimePoint aNow)
 {
   // A node repeats a report with each slot request until its own memory of it ends; only the first
   // sets the expiry.
@@ -41,13 +41,13 @@
 }
 
 void
-FailureBook::OnTold(std::uint32_t aEngine, TimePoint aNow)
+FailureTracker::OnTold(std::uint32_t aEngine, TimePoint aNow)
 {
   Entry(aEngine, aNow).mToldUntil = aNow + mOptions.mMemory / 2;
 }
 
 bool
-FailureBook::IsAgreed(const Engine& aEngine, TimePoint aNow) const
+FailureTracker::IsAgreed(const Engine& aEngine, TimePoint aNow) const
 {
   const auto reporters =
     std::count_if(aEngine.mReports.begin(), aEngine.mReports.end(), [aNow](const auto& aReport) {
@@ -58,7 +58,7 @@
 }
 
 std::vector<std::uint32_t>
-FailureBook::Own(TimePoint aNow) const
+FailureTracker::Own(TimePoint aNow) const
 {
   std::vector<std::uint32_t> own;
   for (const auto& [id, engine] : mEngines) {
@@ -70,7 +70,7 @@
 }
 
 std::vector<std::uint32_t>
-FailureBook::Agreed(TimePoint aNow) const
+FailureTracker::Agreed(TimePoint aNow) const
 {
   std::vector<std::uint32_t> agreed;
   for (const auto& [id, engine] : mEngines) {
@@ -82,7 +82,7 @@
 }
 
 bool
-FailureBook::Fails(std::uint32_t aEngine, TimePoint aNow) const
+FailureTracker::Fails(std::uint32_t aEngine, TimePoint aNow) const
 {
   const auto it = mEngines.find(aEngine);
   return it != mEngines.end() && (it->second.mOwnUntil > aNow || it->second.mToldUntil > aNow ||
--- a/src/pepperbay/routing/failure_book_test.cpp
+++ b/src/pepperbay/routing/failure_tracker_test.cpp
@@ -1,4 +1,4 @@
-#include "pepperbay/routing/failure_book.hpp"
+#include "pepperbay/routing/failure_tracker.hpp"
 
 #include "pepperbay/base/hash.hpp"
 
@@ -14,41 +14,41 @@
 
 /// One of three engines fails half of its requests, and each node rarely sends it one. Guards
 /// against each node detecting the fault only by failures of its own callers.
-TEST(FailureBook, TwoNodesAgreeThatAnEngineFails)
+TEST(FailureTracker, TwoNodesAgreeThatAnEngineFails)
 {
-  FailureBook desk;
+  FailureTracker allocator;
   TimePoint now{ seconds(1) };
-  desk.OnReport("one", kEngine, now);
-  desk.OnReport("one", kEngine, now);
-  EXPECT_TRUE(desk.Agreed(now).empty()) << "one node's report, repeated";
-  EXPECT_FALSE(desk.Fails(kEngine, now));
-  desk.OnReport("two", kEngine, now);
-  EXPECT_EQ(desk.Agreed(now), std::vector<std::uint32_t>{ kEngine });
-  EXPECT_TRUE(desk.Fails(kEngine, now));
+  allocator.OnReport("one", kEngine, now);
+  allocator.OnReport("one", kEngine, now);
+  EXPECT_TRUE(allocator.Agreed(now).empty()) << "one node's report, repeated";
+  EXPECT_FALSE(allocator.Fails(kEngine, now));
+  allocator.OnReport("two", kEngine, now);
+  EXPECT_EQ(allocator.Agreed(now), std::vector<std::uint32_t>{ kEngine });
+  EXPECT_TRUE(allocator.Fails(kEngine, now));
 }
 
 /// Guards against avoiding an engine for ever after it has recovered: a repeated report of the same
 /// node does not extend its expiry.
-TEST(FailureBook, AFailureThatIsNotSeenAgainIsForgotten)
+TEST(FailureTracker, AFailureThatIsNotSeenAgainIsForgotten)
 {
-  FailureBook desk;
+  FailureTracker allocator;
   TimePoint now{ seconds(1) };
-  desk.OnReport("one", kEngine, now);
-  desk.OnReport("two", kEngine, now);
+  allocator.OnReport("one", kEngine, now);
+  allocator.OnReport("two", kEngine, now);
   for (int i = 0; i < 25; ++i) {
     now += milliseconds(100);
     if (i < 10) {
-      desk.OnReport("one", kEngine, now);
-      desk.OnReport("two", kEngine, now);
+      allocator.OnReport("one", kEngine, now);
+      allocator.OnReport("two", kEngine, now);
     }
   }
-  EXPECT_FALSE(desk.Fails(kEngine, now));
-  EXPECT_TRUE(desk.Agreed(now).empty());
+  EXPECT_FALSE(allocator.Fails(kEngine, now));
+  EXPECT_TRUE(allocator.Agreed(now).empty());
 }
 
-TEST(FailureBook, ANodeUsesItsOwnFailuresAndReports)
+TEST(FailureTracker, ANodeUsesItsOwnFailuresAndReports)
 {
-  FailureBook node;
+  FailureTracker node;
   TimePoint now{ seconds(1) };
   node.OnFailed("engine", now);
   EXPECT_EQ(node.Own(now), std::vector<std::uint32_t>{ kEngine });
--- a/src/pepperbay/routing/refusal_book.cpp
+++ b/src/pepperbay/routing/refusal_tracker.cpp
@@ -1,4 +1,4 @@
-#include "pepperbay/routing/refusal_book.hpp"
+#include "pepperbay/routing/refusal_tracker.hpp"
 
 #include "pepperbay/base/hash.hpp"
 
@@ -6,13 +6,13 @@
 
 namespace pepperbay {
 
-RefusalBook::RefusalBook(RefusalOptions aOptions)
+RefusalTracker::RefusalTracker(RefusalOptions aOptions)
   : mOptions(aOptions)
 {
 }
 
 bool
-RefusalBook::OnRefused(const std::string& aHead, TimePoint aSentAt, TimePoint aNow)
+RefusalTracker::OnRefused(const std::string& aHead, TimePoint aSentAt, TimePoint aNow)
 {
   DropOld(aNow);
   Refusal& refusal = mRefusals[ShortId(aHead)];
@@ -25,7 +25,7 @@
 }
 
 void
-RefusalBook::OnTaken(const std::string& aHead, TimePoint aSentAt)
+RefusalTracker::OnTaken(const std::string& aHead, TimePoint aSentAt)
 {
   const auto it = mRefusals.find(ShortId(aHead));
   if (it != mRefusals.end() && aSentAt >= it->second.mUntil) {
@@ -34,7 +34,7 @@
 }
 
 void
-RefusalBook::DropOld(TimePoint aNow)
+RefusalTracker::DropOld(TimePoint aNow)
 {
   for (auto it = mRefusals.begin(); it != mRefusals.end();) {
     const TimePoint last = std::max(it->second.mUntil, it->second.mToldUntil);
@@ -43,27 +43,27 @@
 }
 
 void
-RefusalBook::OnTold(std::uint32_t aHead, TimePoint aNow)
+RefusalTracker::OnTold(std::uint32_t aHead, TimePoint aNow)
 {
   DropOld(aNow);
   mRefusals[aHead].mToldUntil = aNow + mOptions.mToldPause;
 }
 
 void
-RefusalBook::Forget(const std::string& aHead)
+RefusalTracker::Forget(const std::string& aHead)
 {
   mRefusals.erase(ShortId(aHead));
 }
 
 bool
-RefusalBook::Refuses(std::uint32_t aHead, TimePoint aNow) const
+RefusalTracker::Refuses(std::uint32_t aHead, TimePoint aNow) const
 {
   const auto it = mRefusals.find(aHead);
   return it != mRefusals.end() && aNow < std::max(it->second.mUntil, it->second.mToldUntil);
 }
 
 std::vector<std::uint32_t>
-RefusalBook::Refusing(TimePoint aNow) const
+RefusalTracker::Refusing(TimePoint aNow) const
 {
   std::vector<std::uint32_t> refusing;
   for (const auto& [head, refusal] : mRefusals) {
--- a/src/pepperbay/routing/refusal_book_test.cpp
+++ b/src/pepperbay/routing/refusal_tracker_test.cpp
@@ -1,4 +1,4 @@
-#include "pepperbay/routing/refusal_book.hpp"
+#include "pepperbay/routing/refusal_tracker.hpp"
 
 #include "pepperbay/base/hash.hpp"
 
@@ -10,19 +10,19 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-class RefusalBookTest : public testing::Test
+class RefusalTrackerTest : public testing::Test
 {
 protected:
-  bool Refuses() const { return mBook.Refuses(ShortId(mHead), mNow); }
+  bool Refuses() const { return mTracker.Refuses(ShortId(mHead), mNow); }
   /// A request is sent and immediately refused.
-  bool Refuse() { return mBook.OnRefused(mHead, mNow, mNow); }
+  bool Refuse() { return mTracker.OnRefused(mHead, mNow, mNow); }
 
   const std::string mHead = "h";
   TimePoint mNow = TimePoint(std::chrono::hours(1));
-  RefusalBook mBook;
+  RefusalTracker mTracker;
 };
 
-TEST_F(RefusalBookTest, AHeadIsChosenAgainAfterAPauseThatDoublesUpToALimit)
+TEST_F(RefusalTrackerTest, AHeadIsChosenAgainAfterAPauseThatDoublesUpToALimit)
 {
   for (const int ms : { 100, 200, 400, 800, 800 }) {
     EXPECT_TRUE(Refuse());
@@ -34,39 +34,39 @@
 }
 
 /// Refusals of requests that were in flight at the first refusal do not extend the pause.
-TEST_F(RefusalBookTest, RefusalsOfRequestsSentBeforeAreIgnored)
+TEST_F(RefusalTrackerTest, RefusalsOfRequestsSentBeforeAreIgnored)
 {
   const TimePoint sent = mNow;
   mNow += milliseconds(5);
-  EXPECT_TRUE(mBook.OnRefused(mHead, sent, mNow));
-  EXPECT_FALSE(mBook.OnRefused(mHead, sent + milliseconds(2), mNow + milliseconds(2)));
+  EXPECT_TRUE(mTracker.OnRefused(mHead, sent, mNow));
+  EXPECT_FALSE(mTracker.OnRefused(mHead, sent + milliseconds(2), mNow + milliseconds(2)));
   mNow += milliseconds(100);
   EXPECT_FALSE(Refuses());
 }
 
 /// A request accepted before the refusal has no effect; one accepted after the pause clears it.
-TEST_F(RefusalBookTest, AHeadThatTakesARequestAgainIsCleared)
+TEST_F(RefusalTrackerTest, AHeadThatTakesARequestAgainIsCleared)
 {
   Refuse();
-  mBook.OnTaken(mHead, mNow - milliseconds(50));
+  mTracker.OnTaken(mHead, mNow - milliseconds(50));
   EXPECT_TRUE(Refuses());
   mNow += milliseconds(100);
-  mBook.OnTaken(mHead, mNow);
+  mTracker.OnTaken(mHead, mNow);
   Refuse();
   mNow += milliseconds(100);
   EXPECT_FALSE(Refuses()) << "the pause has its initial length again";
 }
 
-TEST_F(RefusalBookTest, AnotherNodesReportExpiresSoonAndIsNotPassedOn)
+TEST_F(RefusalTrackerTest, AnotherNodesReportExpiresSoonAndIsNotPassedOn)
 {
-  mBook.OnTold(ShortId(mHead), mNow);
+  mTracker.OnTold(ShortId(mHead), mNow);
   EXPECT_TRUE(Refuses());
-  EXPECT_TRUE(mBook.Refusing(mNow).empty());
+  EXPECT_TRUE(mTracker.Refusing(mNow).empty());
   mNow += milliseconds(100);
   EXPECT_FALSE(Refuses());
 }
 
-TEST_F(RefusalBookTest, OldRefusalsDoNotLengthenAPause)
+TEST_F(RefusalTrackerTest, OldRefusalsDoNotLengthenAPause)
 {
   for (int i = 0; i < 4; ++i) {
     Refuse();
@@ -78,10 +78,10 @@
   EXPECT_FALSE(Refuses());
 }
 
-TEST_F(RefusalBookTest, ARestartedHeadIsChosenAsAnyOther)
+TEST_F(RefusalTrackerTest, ARestartedHeadIsChosenAsAnyOther)
 {
   Refuse();
-  mBook.Forget(mHead);
+  mTracker.Forget(mHead);
   EXPECT_FALSE(Refuses());
 }
 
