--- a/bench/pools/stream_load.cpp
+++ b/bench/pools/stream_load.cpp
@@ -377,7 +377,7 @@
     progress.mMayHaveRun = true;
     progress.mAnswerBegun = it.mBegun;
     progress.mSent = it.mSent;
-    progress.mMostSent = kMostSent;
+    progress.mMaxSent = kMostSent;
     progress.mLeft = it.mSpec->mDeadline - (mWorld->Now() - it.mArrived);
     progress.mHasTarget = Choose(it) != nullptr;
     progress.mHasBudget = mBudget.Left() >= 1;
--- a/include/pepperbay/admission/connection_gate.hpp
+++ b/include/pepperbay/admission/connection_gate.hpp
@@ -21,27 +21,27 @@
 struct ConnectionGateOptions
 {
   /// Above this averaged lag the thread is overloaded.
-  Duration mMostLag = std::chrono::milliseconds(30);
+  Duration mMaxLag = std::chrono::milliseconds(30);
   /// A burst is at least this multiple of the usual rate. Below it, a node that lags for another
   /// reason still accepts its usual callers.
-  double mRushFrom = 3;
+  double mBurstFactor = 3;
   /// New connections per second; a lower rate is never a burst, since callers whose connections
   /// were cut reconnect all at once.
-  double mLeastRush = 200;
-  double mFirstRate = 8;    ///< initial rate in a burst, as a multiple of the usual rate
-  double mLeastFirst = 100; ///< per second; lower bound of the initial rate
-  double mLeastRate = 20;   ///< per second, accepted whatever the lag
-  double mGrowth = 1.02;    ///< factor per control period while the thread keeps up
-  double mFall = 0.8;       ///< factor per control period while it lags
+  double mMinBurst = 200;
+  double mFirstRate = 8;      ///< initial rate in a burst, as a multiple of the usual rate
+  double mMinFirstRate = 100; ///< per second; lower bound of the initial rate
+  double mMinRate = 20;       ///< per second, accepted whatever the lag
+  double mGrowth = 1.02;      ///< factor per control period while the thread keeps up
+  double mFall = 0.8;         ///< factor per control period while it lags
   Duration mControlEvery = std::chrono::milliseconds(200);
   Duration mUsualOver = std::chrono::seconds(20); ///< averaging time of the usual rate
-  std::size_t mMostOpen = 4096;                   ///< open connections; see MostCallers()
+  std::size_t mMaxOpen = 4096;                    ///< open connections; see MaxCallers()
 };
 
 /// @return the number of client connections that a process with this limit of file descriptors may
 /// hold: each request needs a second descriptor for its connection to an engine.
 std::size_t
-MostCallers(std::size_t aDescriptors);
+MaxCallers(std::size_t aDescriptors);
 
 /// @code
 /// gate.OnTick(lag, now);                     // often
@@ -63,7 +63,7 @@
   static constexpr std::size_t kPeriods = 5; ///< control periods over which a burst is detected
 
   void Control(TimePoint aNow);
-  bool IsRush() const;
+  bool IsBurst() const;
   bool KnowsUsual(TimePoint aNow) const;
 
   ConnectionGateOptions mOptions;
--- a/include/pepperbay/dispatch/attempt.hpp
+++ b/include/pepperbay/dispatch/attempt.hpp
@@ -30,7 +30,7 @@
   bool mUnrepeatable = false;
   bool mStreams = false; ///< tokens are passed to the caller as they arrive
   TimePoint mDeadline{};
-  int mMostAttempts = 4;
+  int mMaxAttempts = 4;
 };
 
 /// How one attempt failed.
--- a/include/pepperbay/dispatch/failure_step.hpp
+++ b/include/pepperbay/dispatch/failure_step.hpp
@@ -15,7 +15,7 @@
   bool mMayHaveRun = false;  ///< an engine may have started it, in this or an earlier attempt
   bool mAnswerBegun = false; ///< the caller has received the answer's header
   int mSent = 0;             ///< number of engines it was sent to
-  int mMostSent = 1;         ///< number of engines it may be sent to
+  int mMaxSent = 1;          ///< number of engines it may be sent to
   Duration mLeft{ 0 };       ///< until its deadline
   bool mHasTarget = false;   ///< another engine is available
   bool mHasBudget = false;   ///< the retry budget allows one more retry
--- a/include/pepperbay/routing/balancer.hpp
+++ b/include/pepperbay/routing/balancer.hpp
@@ -171,7 +171,7 @@
 
   /// @return the number of requests at a replica of a model, queued ones included, from which on no
   /// further request with this objective is sent there.
-  int MostAt(const EnginePool& aPool, const std::string& aModel, Duration aObjective) const;
+  int MaxRequestsAt(const EnginePool& aPool, const std::string& aModel, Duration aObjective) const;
 
 private:
   bool RecentFault(const std::string& aEngine, TimePoint aNow) const;
--- a/include/pepperbay/routing/engine_limit_table.hpp
+++ b/include/pepperbay/routing/engine_limit_table.hpp
@@ -16,7 +16,7 @@
 namespace pepperbay {
 
 /// Requests per second; a larger stated limit is invalid.
-constexpr double kMostLimit = 1e6;
+constexpr double kMaxLimit = 1e6;
 
 /// The rate limit stated in one answer of an engine.
 struct LimitStatement
--- a/include/pepperbay/routing/failure_tracker.hpp
+++ b/include/pepperbay/routing/failure_tracker.hpp
@@ -19,7 +19,7 @@
   Duration mMemory = std::chrono::seconds(2);
   /// Number of reporting nodes for an engine to count as failing: any engine occasionally fails a
   /// request.
-  std::size_t mLeastReporters = 2;
+  std::size_t mMinReporters = 2;
 };
 
 /// Each of many nodes sends an engine only a few requests that may run only once, and would detect
--- a/include/pepperbay/routing/refusal_tracker.hpp
+++ b/include/pepperbay/routing/refusal_tracker.hpp
@@ -17,7 +17,7 @@
   /// After a refusal a head is not chosen for this long; the time doubles with each further
   /// refusal, up to the maximum. A check of its members takes some ten milliseconds.
   Duration mFirstPause = std::chrono::milliseconds(100);
-  Duration mMostPause = std::chrono::milliseconds(800);
+  Duration mMaxPause = std::chrono::milliseconds(800);
   /// A head that another node reports as refusing is not chosen for this long; the report is
   /// repeated with each slot request.
   Duration mToldPause = std::chrono::milliseconds(100);
--- a/include/pepperbay/routing/router.hpp
+++ b/include/pepperbay/routing/router.hpp
@@ -148,8 +148,8 @@
 using FirstTokenTimes = std::map<std::string, Duration>;
 
 /// Marks stragglers: a target slower than `aFactor` times the median is ejected, but never more
-/// than `aMostShare` of a pool; otherwise a general slowdown could eject all of it.
+/// than `aMaxShare` of a pool; otherwise a general slowdown could eject all of it.
 void
-EjectStragglers(Pool* aPool, const FirstTokenTimes& aTimes, double aFactor, double aMostShare);
+EjectStragglers(Pool* aPool, const FirstTokenTimes& aTimes, double aFactor, double aMaxShare);
 
 } // namespace pepperbay
--- a/scripts/mutants/composition.sh
+++ b/scripts/mutants/composition.sh
@@ -26,7 +26,7 @@
 mutant "an engine that fails alerts is chosen" $s/routing/balancer.cpp \
   's/const bool fails = aQuery.mOnce .*/const bool fails = false;/' routing_balancer_test '*OnlyOnce*'
 mutant "one node's word is enough" $s/routing/failure_tracker.cpp \
-  's/>= mOptions.mLeastReporters/>= 1/' routing_failure_tracker_test '*TwoNodes*'
+  's/>= mOptions.mMinReporters/>= 1/' routing_failure_tracker_test '*TwoNodes*'
 mutant "a node repeats its word for ever" $s/routing/failure_tracker.cpp \
   's/mReports.try_emplace\(aNode, aNow \+ mOptions.mMemory\);/mReports[aNode] = aNow + mOptions.mMemory;/' \
   routing_failure_tracker_test '*Forgotten*'
--- a/scripts/mutants/parts.sh
+++ b/scripts/mutants/parts.sh
@@ -18,7 +18,7 @@
 mutant "a rush is taken whole" $s/admission/connection_gate.cpp \
   's/if \(mTaken >= mRate .*/if (false) {/' admission_connection_gate_test '*Burst*'
 mutant "connections have no bound" $s/admission/connection_gate.cpp \
-  's/if \(aOpen >= mOptions.mMostOpen\)/if (false)/' admission_connection_gate_test '*MayBeOpen*'
+  's/if \(aOpen >= mOptions.mMaxOpen\)/if (false)/' admission_connection_gate_test '*MayBeOpen*'
 mutant "interim answers have no bound" $s/relay/attempt.cpp \
   's/if \(\+\+mInterim > kMostInterim\)/if (false)/' relay_relay_endless_test '*Interim*'
 mutant "kept answers have no bound together" $s/relay/exchange.cpp \
--- a/src/pepperbay/admission/admission.cpp
+++ b/src/pepperbay/admission/admission.cpp
@@ -8,8 +8,8 @@
 namespace {
 
 constexpr double kServiceSmoothing = 0.1;
-constexpr double kLeastShare = 0.001;
-constexpr Duration kLeastRetryAfter = std::chrono::seconds(1);
+constexpr double kMinShare = 0.001;
+constexpr Duration kMinRetryAfter = std::chrono::seconds(1);
 
 } // namespace
 
@@ -45,7 +45,7 @@
 {
   const auto it = mPool.mShares.find(aCustomer);
   const double share = it == mPool.mShares.end() ? mOptions.mDefaultShare : it->second;
-  return std::max(share, kLeastShare);
+  return std::max(share, kMinShare);
 }
 
 std::size_t
@@ -89,12 +89,12 @@
   const std::size_t others = mPool.mSilentNodes * evenPart + mOthersRunning;
   const std::size_t used = others + mBase;
   const std::size_t free = mPool.mSlots > used ? mPool.mSlots - used : 0;
-  const std::size_t least = std::max<std::size_t>(1, evenPart);
+  const std::size_t minimum = std::max<std::size_t>(1, evenPart);
   if (free == 0) {
-    return std::min(mBase, least);
+    return std::min(mBase, minimum);
   }
   const std::size_t lent = mBase + (free + nodes - 1) / nodes;
-  return std::max(lent, std::min(least, mBase + free));
+  return std::max(lent, std::min(minimum, mBase + free));
 }
 
 Duration
@@ -121,13 +121,13 @@
   const double running = static_cast<double>(RunningOf(aArrival.mCustomer));
   const std::int64_t levels = (aNow - aSince) / mOptions.mAgeOneLevel;
   const std::int64_t level = static_cast<std::int64_t>(aArrival.mPriority) - levels;
-  return { running >= std::max(1.0, share), level, running / std::max(share, kLeastShare), aSince };
+  return { running >= std::max(1.0, share), level, running / std::max(share, kMinShare), aSince };
 }
 
 AdmissionDecision
 Admission::Refusal(const std::string& aReason, Duration aRetryAfter) const
 {
-  return { AdmissionVerdict::kRefuse, aReason, std::max(aRetryAfter, kLeastRetryAfter) };
+  return { AdmissionVerdict::kRefuse, aReason, std::max(aRetryAfter, kMinRetryAfter) };
 }
 
 void
@@ -141,10 +141,10 @@
 Admission::Arrive(const Arrival& aArrival, TimePoint aNow, std::vector<GivenUp>* aGivenUp)
 {
   if (mPool.mSlots == 0) {
-    return Refusal("no replica is whole", kLeastRetryAfter);
+    return Refusal("no replica is whole", kMinRetryAfter);
   }
   if (aArrival.mDeadline <= aNow) {
-    return Refusal("its deadline has passed", kLeastRetryAfter);
+    return Refusal("its deadline has passed", kMinRetryAfter);
   }
   if (mWaiting.empty() && mRunning.size() < Allowance()) {
     Start(aArrival);
--- a/src/pepperbay/admission/connection_gate.cpp
+++ b/src/pepperbay/admission/connection_gate.cpp
@@ -16,7 +16,7 @@
 } // namespace
 
 std::size_t
-MostCallers(std::size_t aDescriptors)
+MaxCallers(std::size_t aDescriptors)
 {
   constexpr std::size_t kParts = 5;
   constexpr std::size_t kOfCallers = 3;
@@ -42,11 +42,11 @@
 }
 
 bool
-ConnectionGate::IsRush() const
+ConnectionGate::IsBurst() const
 {
   const double came = std::accumulate(mCounts.begin(), mCounts.end(), 0.0);
   return came / (kPeriods * Seconds(mOptions.mControlEvery)) >
-         std::max(mOptions.mLeastRush, mOptions.mRushFrom * mUsual);
+         std::max(mOptions.mMinBurst, mOptions.mBurstFactor * mUsual);
 }
 
 void
@@ -60,13 +60,13 @@
   if (since < mOptions.mControlEvery) {
     return;
   }
-  if (!IsRush()) {
+  if (!IsBurst()) {
     mRate = 0;
   } else if (mRate > 0) {
-    const double least = std::max(mOptions.mLeastRate, mUsual);
+    const double minimum = std::max(mOptions.mMinRate, mUsual);
     const double taken = mTaken / Seconds(since);
-    mRate = mLag > mOptions.mMostLag ? std::max(least, std::min(mRate, taken) * mOptions.mFall)
-                                     : mRate * mOptions.mGrowth;
+    mRate = mLag > mOptions.mMaxLag ? std::max(minimum, std::min(mRate, taken) * mOptions.mFall)
+                                    : mRate * mOptions.mGrowth;
   }
   // Connections offered in a burst do not count as usual; those accepted do.
   const Duration over = std::min(mOptions.mUsualOver, aNow - mSince);
@@ -82,16 +82,16 @@
 {
   Control(aNow);
   ++mCounts[mPeriod];
-  if (aOpen >= mOptions.mMostOpen) {
+  if (aOpen >= mOptions.mMaxOpen) {
     return false;
   }
-  if (!IsRush()) {
+  if (!IsBurst()) {
     ++mTaken;
     return true;
   }
   if (mRate == 0) {
     // A process that has just started has no usual rate; only its lag limits what it accepts.
-    mRate = KnowsUsual(aNow) ? std::max(mOptions.mLeastFirst, mOptions.mFirstRate * mUsual)
+    mRate = KnowsUsual(aNow) ? std::max(mOptions.mMinFirstRate, mOptions.mFirstRate * mUsual)
                              : std::numeric_limits<double>::max();
   }
   if (mTaken >= mRate * Seconds(mOptions.mControlEvery)) {
--- a/src/pepperbay/admission/connection_gate_test.cpp
+++ b/src/pepperbay/admission/connection_gate_test.cpp
@@ -89,12 +89,12 @@
 TEST(ConnectionGate, NoMoreAreTakenThanMayBeOpen)
 {
   ConnectionGateOptions options;
-  options.mMostOpen = 10;
+  options.mMaxOpen = 10;
   ConnectionGate gate(options);
   const TimePoint now(std::chrono::hours(1));
   EXPECT_TRUE(gate.Takes(9, now));
   EXPECT_FALSE(gate.Takes(10, now));
-  EXPECT_EQ(MostCallers(4100), 2460U);
+  EXPECT_EQ(MaxCallers(4100), 2460U);
 }
 
 /// A node with a single-threaded server: a request costs time when it is read, and more time with
@@ -106,7 +106,7 @@
   static constexpr Duration kEvent = std::chrono::microseconds(120);
   static constexpr int kEvents = 25;
   static constexpr milliseconds kEventEvery{ 60 };
-  static constexpr milliseconds kMostLate{ 120 };
+  static constexpr milliseconds kMaxLate{ 120 };
 
   struct Count
   {
@@ -163,7 +163,7 @@
     }
     ++mOpen;
     mBacklog += kRead;
-    mRequests.push_back({ mNow + kEventEvery, 0, mBacklog > kMostLate });
+    mRequests.push_back({ mNow + kEventEvery, 0, mBacklog > kMaxLate });
     return true;
   }
 
@@ -175,7 +175,7 @@
         ++request.mEvents;
         request.mNextEvent += kEventEvery;
         mBacklog += kEvent;
-        request.mLate = request.mLate || mBacklog > kMostLate;
+        request.mLate = request.mLate || mBacklog > kMaxLate;
         mOpen -= request.mEvents == kEvents ? 1 : 0;
       }
     }
--- a/src/pepperbay/admission/fairness_tracker.cpp
+++ b/src/pepperbay/admission/fairness_tracker.cpp
@@ -7,7 +7,7 @@
 namespace {
 
 /// Maximum number of customers tracked; a deployment has some tens.
-constexpr std::size_t kMostKept = 1024;
+constexpr std::size_t kMaxCustomers = 1024;
 /// A decayed count below this is dropped.
 constexpr double kNothing = 0.01;
 
@@ -45,7 +45,7 @@
 FairnessTracker::OnRefused(const Claimant& aClaimant, TimePoint aNow)
 {
   DropOld(aNow);
-  if (mRefused.size() < kMostKept) {
+  if (mRefused.size() < kMaxCustomers) {
     mRefused[{ aClaimant.mUrgency, aClaimant.mCustomer }] = aNow;
   }
 }
@@ -55,7 +55,7 @@
 {
   DropOld(aNow);
   const double before = TakenBy(aClaimant.mCustomer, aNow);
-  if (mTaken.size() < kMostKept) {
+  if (mTaken.size() < kMaxCustomers) {
     mTaken[aClaimant.mCustomer] = { before + 1, aNow };
   }
 }
--- a/src/pepperbay/dispatch/attempt.cpp
+++ b/src/pepperbay/dispatch/attempt.cpp
@@ -27,7 +27,7 @@
 Delivery::BeginAttempt()
 {
   const bool mayRepeat = !mRequest.mUnrepeatable || !mMayHaveRun;
-  if (mFinished || !mayRepeat || mAttempts >= mRequest.mMostAttempts) {
+  if (mFinished || !mayRepeat || mAttempts >= mRequest.mMaxAttempts) {
     return 0;
   }
   return ++mAttempts;
@@ -55,7 +55,7 @@
   progress.mMayHaveRun = mMayHaveRun || began;
   progress.mAnswerBegun = callerHasPart;
   progress.mSent = mAttempts;
-  progress.mMostSent = mRequest.mMostAttempts;
+  progress.mMaxSent = mRequest.mMaxAttempts;
   progress.mLeft = mRequest.mDeadline - aNow;
   progress.mHasTarget = true; // the caller looks for a target itself
   progress.mHasBudget = aBudget->Left() >= 1.0;
--- a/src/pepperbay/dispatch/attempted_engines.cpp
+++ b/src/pepperbay/dispatch/attempted_engines.cpp
@@ -5,7 +5,7 @@
 namespace pepperbay {
 namespace {
 
-constexpr int kMostTimes = 2;
+constexpr int kMaxAttemptsPerEngine = 2;
 
 } // namespace
 
@@ -46,7 +46,7 @@
   std::set<std::string> engines;
   for (const auto& [engine, asked] : mEngines) {
     const bool free = asked.mNotTaken || aFormedAnew(engine, asked.mReplica);
-    if (asked.mTimes < kMostTimes && free) {
+    if (asked.mTimes < kMaxAttemptsPerEngine && free) {
       engines.insert(engine);
     }
   }
--- a/src/pepperbay/dispatch/failure_step.cpp
+++ b/src/pepperbay/dispatch/failure_step.cpp
@@ -4,7 +4,7 @@
 namespace {
 /// Less time is not enough to connect, run and answer on any engine: a retry would only take a slot
 /// from a request that can still be served.
-constexpr Duration kLeastUsefulTime = std::chrono::milliseconds(40);
+constexpr Duration kMinUsefulTime = std::chrono::milliseconds(40);
 }
 
 std::string
@@ -16,10 +16,10 @@
   if (aProgress.mHeldBack) {
     return "engines have ended under it";
   }
-  if (aProgress.mSent >= aProgress.mMostSent) {
+  if (aProgress.mSent >= aProgress.mMaxSent) {
     return "all attempts failed";
   }
-  if (aProgress.mLeft <= kLeastUsefulTime) {
+  if (aProgress.mLeft <= kMinUsefulTime) {
     return "no time is left for another attempt";
   }
   if (!aProgress.mHasTarget) {
--- a/src/pepperbay/dispatch/failure_step_test.cpp
+++ b/src/pepperbay/dispatch/failure_step_test.cpp
@@ -14,7 +14,7 @@
   progress.mMayHaveRun = *rc::gen::arbitrary<bool>();
   progress.mAnswerBegun = *rc::gen::arbitrary<bool>();
   progress.mSent = *rc::gen::inRange(0, 4);
-  progress.mMostSent = *rc::gen::inRange(1, 4);
+  progress.mMaxSent = *rc::gen::inRange(1, 4);
   progress.mLeft = std::chrono::milliseconds(*rc::gen::inRange(-100, 8000));
   progress.mHasTarget = *rc::gen::arbitrary<bool>();
   progress.mHasBudget = *rc::gen::arbitrary<bool>();
@@ -27,7 +27,7 @@
   const RequestProgress progress = AnyProgress();
   if (AfterFailure(progress) == FailureStep::kSendAgain) {
     RC_ASSERT(progress.mRepeatable || !progress.mMayHaveRun);
-    RC_ASSERT(progress.mSent < progress.mMostSent);
+    RC_ASSERT(progress.mSent < progress.mMaxSent);
     RC_ASSERT(progress.mHasBudget && progress.mHasTarget);
     RC_ASSERT(progress.mLeft > Duration::zero());
   }
@@ -46,7 +46,7 @@
   if (AfterFailure(progress) == FailureStep::kWait) {
     RC_ASSERT(progress.mPatience > Duration::zero());
     RC_ASSERT(progress.mRepeatable && progress.mMayHaveRun);
-    RC_ASSERT(progress.mSent < progress.mMostSent);
+    RC_ASSERT(progress.mSent < progress.mMaxSent);
     RC_ASSERT(!progress.mHasBudget || !progress.mHasTarget);
   }
 }
@@ -67,7 +67,7 @@
   progress.mRepeatable = true;
   progress.mMayHaveRun = true;
   progress.mSent = 1;
-  progress.mMostSent = 2;
+  progress.mMaxSent = 2;
   progress.mLeft = std::chrono::seconds(1);
   progress.mHasTarget = true;
   progress.mHasBudget = true;
--- a/src/pepperbay/edge/edge_node.cpp
+++ b/src/pepperbay/edge/edge_node.cpp
@@ -87,7 +87,7 @@
     const auto descriptors = RaiseDescriptorLimit();
     if (descriptors.has_value()) {
       mMostCarried = MostCarried(descriptors.value());
-      mMostCallers = MostCallers(descriptors.value());
+      mMostCallers = MaxCallers(descriptors.value());
     } else {
       LogWarning("descriptor_limit_unknown", { { "detail", ToString(descriptors.error()) } });
     }
@@ -259,7 +259,7 @@
     options.mTunnel = mSettings.mTunnel;
     options.mTunnelKey = mTunnelKey;
     options.mMostCarried = mMostCarried;
-    options.mGate.mMostOpen = mMostCallers;
+    options.mGate.mMaxOpen = mMostCallers;
     options.mTuning = TuningOf(mSettings);
     return options;
   }
@@ -418,7 +418,7 @@
   const std::uint64_t mIncarnation = NewIncarnation(); ///< of this start, for all its messages
   const std::string mTunnelKey = NewAttemptId(); ///< of this start; others read it in the store
   std::size_t mMostCarried = MostCarried(kUsualDescriptors);
-  std::size_t mMostCallers = MostCallers(kUsualDescriptors);
+  std::size_t mMostCallers = MaxCallers(kUsualDescriptors);
   std::unique_ptr<HttpClient> mClient;
   std::unique_ptr<PlatformLink> mLink;
   std::unique_ptr<Relay> mRelay;
--- a/src/pepperbay/relay/exchange_ends.cpp
+++ b/src/pepperbay/relay/exchange_ends.cpp
@@ -151,7 +151,7 @@
   progress.mAnswerBegun = mStreamStarted;
   const bool again = StaleEngine() != nullptr || !AskOnceMore().empty();
   progress.mSent = mAsked.Count() - (again ? 1 : 0);
-  progress.mMostSent = mRoute->mMaxAttempts;
+  progress.mMaxSent = mRoute->mMaxAttempts;
   progress.mLeft = Left();
   progress.mHasTarget = mConnectFailures < kMostConnectFailures && HasTarget();
   progress.mHasBudget = mSent == 0 || HasBudget();
--- a/src/pepperbay/relay/relay_rush_test.cpp
+++ b/src/pepperbay/relay/relay_rush_test.cpp
@@ -14,7 +14,7 @@
     }
   });
   RelayOptions options;
-  options.mGate.mMostOpen = 1;
+  options.mGate.mMaxOpen = 1;
   Serve({ &engine }, options);
   const int first = Connect();
   RawConnection kept(first);
--- a/src/pepperbay/routing/balancer.cpp
+++ b/src/pepperbay/routing/balancer.cpp
@@ -142,9 +142,9 @@
 Duration
 Balancer::PauseOf(const std::string& aHead, TimePoint aNow) const
 {
-  constexpr int kLeastSamples = 8;
+  constexpr int kMinSamples = 8;
   const auto it = mPaces.find(aHead);
-  const bool known = it != mPaces.end() && it->second.mSamples >= kLeastSamples &&
+  const bool known = it != mPaces.end() && it->second.mSamples >= kMinSamples &&
                      aNow - it->second.mLast <= mOptions.mPaceMemory;
   return known ? it->second.mPause : Duration::zero();
 }
@@ -218,7 +218,9 @@
 }
 
 int
-Balancer::MostAt(const EnginePool& aPool, const std::string& aModel, Duration aObjective) const
+Balancer::MaxRequestsAt(const EnginePool& aPool,
+                        const std::string& aModel,
+                        Duration aObjective) const
 {
   const int share = static_cast<int>(aPool.mSlots * (1.0 + mOptions.mQueueShare));
   const ModelSpec* model = aPool.FindModel(aModel);
@@ -248,7 +250,7 @@
     return choice;
   }
   const int slots = aService.mPool->mSlots;
-  const int most = MostAt(*aService.mPool, aQuery.mModel, aQuery.mObjective);
+  const int maxRequests = MaxRequestsAt(*aService.mPool, aQuery.mModel, aQuery.mObjective);
   const Duration fastest = FastestPause(replicas->second, aQuery.mModel, aNow);
   std::tuple<bool, bool, Duration, std::uint64_t> bestRank;
   for (const auto& it : replicas->second) {
@@ -257,7 +259,7 @@
     if (it.mModel != aQuery.mModel || it.mSuspended || it.mLost || aQuery.mTried.count(id) != 0) {
       continue;
     }
-    if (InFlight(aPlan, head) >= most || mRefusals.Refuses(id, aNow)) {
+    if (InFlight(aPlan, head) >= maxRequests || mRefusals.Refuses(id, aNow)) {
       choice.mFull = true;
       continue;
     }
--- a/src/pepperbay/routing/balancer_test.cpp
+++ b/src/pepperbay/routing/balancer_test.cpp
@@ -92,13 +92,14 @@
   engines.mStepTime = std::chrono::milliseconds(10);
   engines.mUsualAnswer = 100; // an answer takes 1 s, so a slot comes free every 50 ms
   const Balancer balancer(options);
-  EXPECT_EQ(balancer.MostAt(engines, "m", std::chrono::milliseconds(300)), 23);
-  EXPECT_EQ(balancer.MostAt(engines, "m", std::chrono::milliseconds(100)), 21);
-  EXPECT_EQ(balancer.MostAt(engines, "m", seconds(5)), 30) << "never beyond half of the slots";
-  EXPECT_EQ(balancer.MostAt(engines, "m", Duration::zero()), 30) << "late in any case";
+  EXPECT_EQ(balancer.MaxRequestsAt(engines, "m", std::chrono::milliseconds(300)), 23);
+  EXPECT_EQ(balancer.MaxRequestsAt(engines, "m", std::chrono::milliseconds(100)), 21);
+  EXPECT_EQ(balancer.MaxRequestsAt(engines, "m", seconds(5)), 30)
+    << "never beyond half of the slots";
+  EXPECT_EQ(balancer.MaxRequestsAt(engines, "m", Duration::zero()), 30) << "late in any case";
   engines.mUsualAnswer = 0;
   engines.mUsualPrompt = 0;
-  EXPECT_EQ(balancer.MostAt(engines, "m", std::chrono::milliseconds(300)), 30)
+  EXPECT_EQ(balancer.MaxRequestsAt(engines, "m", std::chrono::milliseconds(300)), 30)
     << "answer time unknown";
 }
 
--- a/src/pepperbay/routing/engine_limit_table.cpp
+++ b/src/pepperbay/routing/engine_limit_table.cpp
@@ -57,7 +57,7 @@
 bool
 IsLimit(double aPerSecond)
 {
-  return aPerSecond >= 0 && aPerSecond <= kMostLimit; // NaN fails both comparisons
+  return aPerSecond >= 0 && aPerSecond <= kMaxLimit; // NaN fails both comparisons
 }
 
 LimitChange
--- a/src/pepperbay/routing/failure_tracker.cpp
+++ b/src/pepperbay/routing/failure_tracker.cpp
@@ -54,7 +54,7 @@
       return aReport.second > aNow;
     });
   const std::size_t own = aEngine.mOwnUntil > aNow ? 1 : 0;
-  return static_cast<std::size_t>(reporters) + own >= mOptions.mLeastReporters;
+  return static_cast<std::size_t>(reporters) + own >= mOptions.mMinReporters;
 }
 
 std::vector<std::uint32_t>
--- a/src/pepperbay/routing/refusal_tracker.cpp
+++ b/src/pepperbay/routing/refusal_tracker.cpp
@@ -19,7 +19,7 @@
   if (aSentAt < refusal.mUntil) {
     return false;
   }
-  refusal.mPause = std::clamp(refusal.mPause * 2, mOptions.mFirstPause, mOptions.mMostPause);
+  refusal.mPause = std::clamp(refusal.mPause * 2, mOptions.mFirstPause, mOptions.mMaxPause);
   refusal.mUntil = aNow + refusal.mPause;
   return true;
 }
--- a/src/pepperbay/routing/router.cpp
+++ b/src/pepperbay/routing/router.cpp
@@ -10,7 +10,7 @@
 constexpr int kTries = 8;
 constexpr int kPointsPerReplica = 8;
 /// Maximum number of targets examined in one decision, whatever the size of the subset.
-constexpr std::size_t kMostConsidered = 64;
+constexpr std::size_t kMaxConsidered = 64;
 /// Probability that the first and second owner of a prefix on the ring have it cached.
 constexpr double kOwnerCached[] = { 0.9, 0.5 };
 
@@ -96,12 +96,12 @@
 void
 ConsiderRange(const Pool& aPool,
               std::size_t aCount,
-              std::size_t aMost,
+              std::size_t aMax,
               std::uint64_t aRandom,
               Choice* aChoice)
 {
   const std::size_t start = aRandom % aCount;
-  for (std::size_t i = 0; i < std::min(aCount, aMost); ++i) {
+  for (std::size_t i = 0; i < std::min(aCount, aMax); ++i) {
     aChoice->Consider(aPool.mTargets[(start + i) % aCount], 0.0);
   }
 }
@@ -184,7 +184,7 @@
   for (int i = 0; i < kTries; ++i) {
     Choice choice(aQuery, aOptions, aNow);
     ConsiderOwners(pool, aQuery.mPrefix, &choice);
-    ConsiderRange(pool, subset, kMostConsidered, aRandom(), &choice);
+    ConsiderRange(pool, subset, kMaxConsidered, aRandom(), &choice);
     const ReplicaTarget* target = choice.Best();
     const bool full =
       target == nullptr || target->mEjected || LoadPerSlot(*target, aOptions) >= aOptions.mSpillAt;
@@ -208,7 +208,7 @@
 }
 
 void
-EjectStragglers(Pool* aPool, const FirstTokenTimes& aTimes, double aFactor, double aMostShare)
+EjectStragglers(Pool* aPool, const FirstTokenTimes& aTimes, double aFactor, double aMaxShare)
 {
   std::vector<Duration> sorted;
   for (const auto& it : aPool->mTargets) {
@@ -236,9 +236,9 @@
   std::sort(slow.begin(), slow.end(), [](const ReplicaTarget* aLeft, const ReplicaTarget* aRight) {
     return aLeft->mSlowness > aRight->mSlowness;
   });
-  const auto most =
-    static_cast<std::size_t>(aMostShare * static_cast<double>(aPool->mTargets.size()));
-  for (std::size_t i = 0; i < slow.size() && i < most; ++i) {
+  const auto maxEjected =
+    static_cast<std::size_t>(aMaxShare * static_cast<double>(aPool->mTargets.size()));
+  for (std::size_t i = 0; i < slow.size() && i < maxEjected; ++i) {
     slow[i]->mEjected = true;
   }
 }
