--- a/examples/places/ask.cpp
+++ b/examples/places/ask.cpp
@@ -27,8 +27,8 @@
   replica.mModel = "m";
   replica.mHead = { "engine-1", "10.0.0.1:80", "levis" };
   plan->mReplicas["pool"] = { replica };
-  plan->mIsDesk = aIsDesk;
-  plan->mDesks = { { "desk", "desk" } };
+  plan->mIsAllocator = aIsDesk;
+  plan->mAllocators = { { "desk", "desk" } };
   return plan;
 }
 
--- a/include/pepperbay/places/place_agent.hpp
+++ b/include/pepperbay/places/place_agent.hpp
@@ -183,7 +183,7 @@
   {
     PlaceRequest mRequest;
     Done mDone;
-    DeskAddress mDesk;
+    AllocatorAddress mDesk;
     std::string mBytes;
     TimePoint mSent{};
     bool mResent = false;
@@ -217,7 +217,7 @@
 
   TimePoint Now() const { return mHooks.mNow(); }
   /// @return the best desk that has not failed to answer lately; null for none.
-  const DeskAddress* UsableDesk() const;
+  const AllocatorAddress* UsableDesk() const;
   /// Ask the best desk, or choose alone where there is none.
   void AskDesk(std::uint64_t aId, Pending aPending);
   void Resend(const Pending& aPending);
@@ -254,8 +254,8 @@
   /// What an asker says of engines beside its question, and what others have said.
   void TakeWord(const Asker& aAsker, const proto::PlaceAsk& aAsk, proto::PlaceAnswer* aAnswer);
   /// @return the desk of another data centre, where this node is a desk; null: nowhere.
-  const DeskAddress* DeskOf(const std::string& aDataCentre) const;
-  void PassOn(const proto::PlaceAsk& aAsk, const Asker& aAsker, const DeskAddress& aDesk);
+  const AllocatorAddress* DeskOf(const std::string& aDataCentre) const;
+  void PassOn(const proto::PlaceAsk& aAsk, const Asker& aAsker, const AllocatorAddress& aDesk);
   void Grant(const Choice& aChoice,
              const Asker& aAsker,
              const proto::PlaceAsk& aAsk,
--- a/include/pepperbay/routing/traffic_plan.hpp
+++ b/include/pepperbay/routing/traffic_plan.hpp
@@ -39,14 +39,14 @@
 
 /// A slot allocator: a node that grants slots to the requests of other nodes; see
 /// places/place_agent.hpp.
-struct DeskAddress
+struct AllocatorAddress
 {
   std::string mNode;
   std::string mAddress; ///< `IP:port`, UDP
 };
 
 /// The update by the holder of the lease that the replicas of a plan reflect.
-struct NewsMark
+struct UpdateMark
 {
   std::uint64_t mFence = 0;  ///< fencing number of the holder's lease
   std::uint64_t mChange = 0; ///< number of the last change in the plan
@@ -62,7 +62,7 @@
 
 /// The retry budget owner of plain services (their engines are not grouped into replicas); see
 /// retries/retry_agent.hpp.
-struct RetryKeeperPlan
+struct RetryBudgetOwnerPlan
 {
   std::string mAddress; ///< `IP:port`, UDP; empty: no owner is known, or it is this node
   /// This node's own lease on the budget; none: it is not the owner. A node without peers is always
@@ -78,7 +78,7 @@
 using EngineLimits = std::unordered_map<std::uint32_t, double>;
 
 /// The newest known incarnation of each engine that states its start time.
-using EngineStarts = std::unordered_map<std::string, WallTime>;
+using EngineIncarnations = std::unordered_map<std::string, WallTime>;
 
 /// `IP:port` of each registered engine, by id.
 using EngineAddresses = std::unordered_map<std::string, std::string>;
@@ -92,15 +92,16 @@
   std::map<std::string, std::vector<PoolReplica>> mReplicas; ///< by service
   /// Requests with slots granted by other slot allocators, by engine.
   std::unordered_map<std::string, int> mOthersInFlight;
-  bool mIsDesk = true;                         ///< this node is a slot allocator itself
-  std::vector<DeskAddress> mDesks;             ///< slot allocators for this node, best first
-  std::map<std::string, DeskAddress> mDesksOf; ///< of other data centres, used by a slot allocator
-  EngineStarts mStarts;                        ///< of the listed engines
+  bool mIsAllocator = true;                  ///< this node is a slot allocator itself
+  std::vector<AllocatorAddress> mAllocators; ///< slot allocators for this node, best first
+  std::map<std::string, AllocatorAddress>
+    mAllocatorsOf;                  ///< of other data centres, used by a slot allocator
+  EngineIncarnations mIncarnations; ///< of the listed engines
   /// Of the listed engines; null until they are known.
   std::shared_ptr<const EngineAddresses> mAddresses;
   /// Peers that tunnel connections to engines for this node; null for none.
   std::shared_ptr<const ProxyPeers> mProxyPeers;
-  NewsMark mNews;
+  UpdateMark mUpdate;
   /// Requests during which engines exited; null if nothing is known yet.
   std::shared_ptr<const SuspectRequests> mSuspects;
   /// Latest time at which the configuration is known to have been the newest.
@@ -114,7 +115,7 @@
   /// newer configuration may have added them without this node's knowledge.
   TimePoint mMissesValidUntil{};
   RateLeases mRateLeases; ///< held by this node
-  RetryKeeperPlan mRetryKeeper;
+  RetryBudgetOwnerPlan mRetryBudgetOwner;
   EngineLimits mOthersLimits; ///< reported by slot allocators of other data centres
   int mListedNodes = 1;       ///< nodes that may be serving, silent ones included
   int mNodes = 1;             ///< nodes that share the load, this one included
--- a/src/pepperbay/coordinator/coordinator.cpp
+++ b/src/pepperbay/coordinator/coordinator.cpp
@@ -311,32 +311,32 @@
 {
   aPlan->mOthersInFlight = OthersInFlight();
   aPlan->mProxyPeers = mProxyPeers;
-  aPlan->mNews = { mNews.Fence(), mNews.Change(), mNews.AsOf() };
+  aPlan->mUpdate = { mNews.Fence(), mNews.Change(), mNews.AsOf() };
   aPlan->mConfigurationAsOf = ConfigurationAsOf();
   aPlan->mConfigurationTaken = mConfigurationTaken;
   aPlan->mKeysValidUntil = ConfigurationAsOf() + mOptions.mBounds.mKeysTrusted;
   aPlan->mMissesValidUntil = ConfigurationAsOf() + mOptions.mBounds.mMissesTrusted;
   aPlan->mSuspects = mSuspectRequests;
   aPlan->mNodes = NodesAtWork();
-  aPlan->mIsDesk = mTree.FollowsItself();
-  aPlan->mDesks.clear();
+  aPlan->mIsAllocator = mTree.FollowsItself();
+  aPlan->mAllocators.clear();
   const auto deskOf = [this](const std::string& aNode) {
     const KnownPeer* peer = mPeers.Find(aNode);
-    return DeskAddress{ aNode, peer == nullptr ? std::string() : peer->mDeskAddress };
+    return AllocatorAddress{ aNode, peer == nullptr ? std::string() : peer->mDeskAddress };
   };
   for (const auto& it : mTree.Delegates()) {
-    aPlan->mDesks.push_back(deskOf(it));
+    aPlan->mAllocators.push_back(deskOf(it));
   }
-  aPlan->mDesksOf.clear();
+  aPlan->mAllocatorsOf.clear();
   for (const auto& [scope, delegates] : mTree.OtherDelegates()) {
     if (!delegates.empty()) {
-      aPlan->mDesksOf[scope] = deskOf(delegates.front());
+      aPlan->mAllocatorsOf[scope] = deskOf(delegates.front());
     }
   }
   aPlan->mListedNodes = std::max(NodesAtWork(), static_cast<int>(mPeers.Peers().size()) + 1);
   aPlan->mRateLeases = mRateLeases.Current(Now());
   aPlan->mOthersLimits = OthersLimits();
-  aPlan->mRetryKeeper = RetryKeeper();
+  aPlan->mRetryBudgetOwner = RetryKeeper();
 }
 
 void
--- a/src/pepperbay/coordinator/coordinator_impl.hpp
+++ b/src/pepperbay/coordinator/coordinator_impl.hpp
@@ -71,7 +71,7 @@
   /// The holder of the lease keeps the budget of second attempts.
   void RenewRetryRight();
   /// @return who keeps it, as far as this node knows.
-  RetryKeeperPlan RetryKeeper();
+  RetryBudgetOwnerPlan RetryKeeper();
   /// @return limits that nodes tell who count the requests of other data centres' engines.
   EngineLimits OthersLimits() const;
   /// @return these, and those that this node has been told itself.
--- a/src/pepperbay/coordinator/coordinator_limits_test.cpp
+++ b/src/pepperbay/coordinator/coordinator_limits_test.cpp
@@ -56,7 +56,7 @@
   {
     std::vector<std::string> keeping;
     for (const auto& it : mNodes) {
-      const auto& own = it.mPlan ? it.mPlan->mRetryKeeper.mOwn : std::nullopt;
+      const auto& own = it.mPlan ? it.mPlan->mRetryBudgetOwner.mOwn : std::nullopt;
       if (own && mClock.Now() < own->mUntil) {
         keeping.push_back(it.mName);
       }
@@ -146,7 +146,7 @@
   const std::set<std::string> desks = [&] {
     std::set<std::string> names = { Holder().mName };
     for (const auto& it : mNodes) {
-      if (it.mPlan->mIsDesk) {
+      if (it.mPlan->mIsAllocator) {
         names.insert(it.mName);
       }
     }
@@ -176,7 +176,7 @@
   ASSERT_EQ(keeping.size(), 1U);
   EXPECT_EQ(keeping.front(), Holder().mName);
   for (const auto& it : mNodes) {
-    const std::string& keeper = it.mPlan->mRetryKeeper.mAddress;
+    const std::string& keeper = it.mPlan->mRetryBudgetOwner.mAddress;
     EXPECT_EQ(keeper.empty(), it.mName == keeping.front()) << it.mName;
   }
 }
--- a/src/pepperbay/coordinator/coordinator_rate_leases.cpp
+++ b/src/pepperbay/coordinator/coordinator_rate_leases.cpp
@@ -117,10 +117,10 @@
     mRetryRightsGiven.Give(self, { kRetryRight }, now), now, mRetryRightsGiven.Length(), now);
 }
 
-RetryKeeperPlan
+RetryBudgetOwnerPlan
 Coordinator::Impl::RetryKeeper()
 {
-  RetryKeeperPlan keeper;
+  RetryBudgetOwnerPlan keeper;
   keeper.mOwn = std::nullopt;
   const RateLeases own = mRetryRights.Current(Now());
   if (const auto it = own.find(kRetryRight); it != own.end()) {
--- a/src/pepperbay/coordinator/coordinator_registrations_test.cpp
+++ b/src/pepperbay/coordinator/coordinator_registrations_test.cpp
@@ -50,7 +50,7 @@
   }
   EXPECT_GE(mLines["engine_restarted"], 1);
   EXPECT_LE(mLines["engine_restarted"], 2) << "one line a node";
-  EXPECT_EQ(holder.mPlan->mStarts.at(head), WallTime(seconds(100)));
+  EXPECT_EQ(holder.mPlan->mIncarnations.at(head), WallTime(seconds(100)));
   Run(seconds(2));
   for (const auto& node : mNodes) {
     EXPECT_EQ(Usable(node), 1) << node.mName;
--- a/src/pepperbay/coordinator/plan_builder.cpp
+++ b/src/pepperbay/coordinator/plan_builder.cpp
@@ -129,7 +129,7 @@
   for (const auto& [id, engine] : *aSources.mEngines) {
     (*addresses)[id] = engine.mAddress;
     if (engine.mBorn != WallTime{}) {
-      plan->mStarts[id] = engine.mBorn;
+      plan->mIncarnations[id] = engine.mBorn;
     }
     const ServiceSpec* service = plan->mRoutes->FindService(engine.mService);
     if (service != nullptr && !service->mPool && !engine.mLeaving) {
--- a/src/pepperbay/places/place_agent.cpp
+++ b/src/pepperbay/places/place_agent.cpp
@@ -128,13 +128,13 @@
   return message;
 }
 
-const DeskAddress*
+const AllocatorAddress*
 PlaceAgent::UsableDesk() const
 {
-  if (!mPlan || mPlan->mIsDesk || !mHooks.mSend) {
+  if (!mPlan || mPlan->mIsAllocator || !mHooks.mSend) {
     return nullptr;
   }
-  for (const auto& it : mPlan->mDesks) {
+  for (const auto& it : mPlan->mAllocators) {
     const auto passOver = mPassOver.find(it.mNode);
     const bool passed = passOver != mPassOver.end() && Now() < passOver->second;
     if (!passed && !it.mAddress.empty()) {
@@ -156,7 +156,7 @@
 void
 PlaceAgent::AskDesk(std::uint64_t aId, Pending aPending)
 {
-  const DeskAddress* desk = aPending.mDesksAsked < kMostDesks ? UsableDesk() : nullptr;
+  const AllocatorAddress* desk = aPending.mDesksAsked < kMostDesks ? UsableDesk() : nullptr;
   if (desk == nullptr) {
     aPending.mDone(ChooseAlone(aPending.mRequest, Chooser::kAlone, aPending.mDesksAsked > 0));
     return;
@@ -237,7 +237,7 @@
 Place
 PlaceAgent::ChooseAlone(const PlaceRequest& aRequest, Chooser aChooser, bool aCounted)
 {
-  mCounters.mAlone += mPlan && !mPlan->mIsDesk && aChooser == Chooser::kAlone ? 1 : 0;
+  mCounters.mAlone += mPlan && !mPlan->mIsAllocator && aChooser == Chooser::kAlone ? 1 : 0;
   const std::string work = WorkOf(aRequest.mService, aRequest.mModel);
   Query query;
   query.mService = aRequest.mService;
--- a/src/pepperbay/places/place_agent_test.cpp
+++ b/src/pepperbay/places/place_agent_test.cpp
@@ -308,8 +308,8 @@
   newer.mRoutes = world.mRoutes;
   newer.mReplicas["pool"] = world.mReplicas;
   newer.mReplicas["pool"][0].mLost = true;
-  newer.mIsDesk = false;
-  newer.mDesks = { { "desk", "desk" } };
+  newer.mIsAllocator = false;
+  newer.mAllocators = { { "desk", "desk" } };
   node.mAgent->SetPlan(std::make_shared<TrafficPlan>(newer));
   for (int i = 0; i < 6; ++i) {
     EXPECT_EQ(world.Ask(node).mHead.mId, "e1");
--- a/src/pepperbay/places/place_desk.cpp
+++ b/src/pepperbay/places/place_desk.cpp
@@ -97,7 +97,7 @@
   }
   const bool here =
     passedOn || choice.mHead == nullptr || mLedger.Counts(choice.mHead->mDataCentre, Now());
-  const DeskAddress* desk = here ? nullptr : DeskOf(choice.mHead->mDataCentre);
+  const AllocatorAddress* desk = here ? nullptr : DeskOf(choice.mHead->mDataCentre);
   if (desk != nullptr) {
     PassOn(ask, asker, *desk);
     return;
@@ -152,16 +152,17 @@
   FillLimit(head, aAnswer);
 }
 
-const DeskAddress*
+const AllocatorAddress*
 PlaceAgent::DeskOf(const std::string& aDataCentre) const
 {
-  const auto it = mPlan->mDesksOf.find(aDataCentre);
-  const bool heard = mHooks.mSend && it != mPlan->mDesksOf.end() && !it->second.mAddress.empty();
+  const auto it = mPlan->mAllocatorsOf.find(aDataCentre);
+  const bool heard =
+    mHooks.mSend && it != mPlan->mAllocatorsOf.end() && !it->second.mAddress.empty();
   return heard ? &it->second : nullptr;
 }
 
 void
-PlaceAgent::PassOn(const proto::PlaceAsk& aAsk, const Asker& aAsker, const DeskAddress& aDesk)
+PlaceAgent::PassOn(const proto::PlaceAsk& aAsk, const Asker& aAsker, const AllocatorAddress& aDesk)
 {
   proto::PlaceMessage message = NewMessage();
   *message.mutable_ask() = aAsk;
--- a/src/pepperbay/places/place_limits.cpp
+++ b/src/pepperbay/places/place_limits.cpp
@@ -176,7 +176,7 @@
   if (change == LimitChange::kNone || !mPlan) {
     return change;
   }
-  const DeskAddress* desk = mPlan->mIsDesk ? DeskOf(aEngine.mDataCentre) : UsableDesk();
+  const AllocatorAddress* desk = mPlan->mIsAllocator ? DeskOf(aEngine.mDataCentre) : UsableDesk();
   if (desk != nullptr) {
     TellLimit(desk->mAddress, aEngine, aGrant, aStatement);
   }
@@ -216,9 +216,10 @@
   }
   const LimitChange change = mBalancer->Limits().OnStatement(note.limit().engine(), statement);
   NoteChange(note.limit().engine(), change, statement, aMessage.node());
-  const DeskAddress* desk = note.passed_on() || !mPlan || mLedger.Counts(note.data_centre(), Now())
-                              ? nullptr
-                              : DeskOf(note.data_centre());
+  const AllocatorAddress* desk =
+    note.passed_on() || !mPlan || mLedger.Counts(note.data_centre(), Now())
+      ? nullptr
+      : DeskOf(note.data_centre());
   if (desk == nullptr) {
     return;
   }
@@ -242,7 +243,7 @@
     mLedger.Spend(Limited(*engine, *limit), Now());
     return;
   }
-  const DeskAddress* desk = mPlan->mIsDesk ? DeskOf(engine->mDataCentre) : UsableDesk();
+  const AllocatorAddress* desk = mPlan->mIsAllocator ? DeskOf(engine->mDataCentre) : UsableDesk();
   if (desk != nullptr) {
     proto::PlaceMessage message = NewMessage();
     message.mutable_calls()->add_engines(ShortId(aEngine));
@@ -347,7 +348,7 @@
   }
   mRetainDue = Now() + kRetainEvery;
   std::set<std::uint32_t> listed;
-  for (const auto& [id, born] : mPlan->mStarts) {
+  for (const auto& [id, born] : mPlan->mIncarnations) {
     listed.insert(ShortId(id));
   }
   for (const auto& [service, engines] : mPlan->mEngines) {
--- a/src/pepperbay/places/place_world.hpp
+++ b/src/pepperbay/places/place_world.hpp
@@ -114,15 +114,15 @@
       plan.mEngines["plain"] = mPlainEngines;
       plan.mNodes = static_cast<int>(mNodes.size());
       const auto& desks = it.mDesks.empty() ? aDesks.at(it.mDataCentre) : it.mDesks;
-      plan.mIsDesk = desks.front() == it.mName;
+      plan.mIsAllocator = desks.front() == it.mName;
       for (const auto& desk : desks) {
         if (desk != it.mName) {
-          plan.mDesks.push_back({ desk, desk });
+          plan.mAllocators.push_back({ desk, desk });
         }
       }
       for (const auto& [centre, others] : aDesks) {
-        if (plan.mIsDesk && centre != it.mDataCentre) {
-          plan.mDesksOf[centre] = { others.front(), others.front() };
+        if (plan.mIsAllocator && centre != it.mDataCentre) {
+          plan.mAllocatorsOf[centre] = { others.front(), others.front() };
         }
       }
       for (const auto& [centre, counts] : mCounting) {
--- a/src/pepperbay/relay/exchange_ends.cpp
+++ b/src/pepperbay/relay/exchange_ends.cpp
@@ -97,8 +97,8 @@
 {
   // An engine that loses power closes no connection; the caller would wait until its deadline.
   const AttemptTarget& target = aSending.mTarget;
-  const auto start = mCore->mPlan->mStarts.find(target.mEngine);
-  return start != mCore->mPlan->mStarts.end() && target.mBorn != WallTime{} &&
+  const auto start = mCore->mPlan->mIncarnations.find(target.mEngine);
+  return start != mCore->mPlan->mIncarnations.end() && target.mBorn != WallTime{} &&
          start->second > target.mBorn;
 }
 
--- a/src/pepperbay/relay/exchange_log.cpp
+++ b/src/pepperbay/relay/exchange_log.cpp
@@ -78,9 +78,10 @@
     fields["plan_open"] = YesNo(!replica->mSuspended);
     fields["plan_lost"] = YesNo(replica->mLost);
   }
-  if (plan.mNews.mFence != 0) {
-    fields["news"] = std::to_string(plan.mNews.mFence) + "." + std::to_string(plan.mNews.mChange);
-    fields["news_age_ms"] = Millis(now - plan.mNews.mAsOf);
+  if (plan.mUpdate.mFence != 0) {
+    fields["news"] =
+      std::to_string(plan.mUpdate.mFence) + "." + std::to_string(plan.mUpdate.mChange);
+    fields["news_age_ms"] = Millis(now - plan.mUpdate.mAsOf);
   }
 }
 
--- a/src/pepperbay/relay/relay_attempts_test.cpp
+++ b/src/pepperbay/relay/relay_attempts_test.cpp
@@ -341,8 +341,8 @@
   std::atomic<int> requests{ 0 };
   RawEngine second(RefuseFirst(1, &requests));
   RawEngine third([](RawConnection& aConnection) { aConnection.ReadRequest(); });
-  mPlan.mIsDesk = false;
-  mPlan.mDesks = { { "desk", "127.0.0.1:1" } };
+  mPlan.mIsAllocator = false;
+  mPlan.mAllocators = { { "desk", "127.0.0.1:1" } };
   Serve({ &first.mEngine, &second, &third });
   OfferSecond();
   auto answer = AskStream();
--- a/src/pepperbay/relay/relay_core.cpp
+++ b/src/pepperbay/relay/relay_core.cpp
@@ -111,7 +111,7 @@
 RelayCore::SetPlan(std::shared_ptr<const TrafficPlan> aPlan)
 {
   if (mPlan) {
-    ForgetReplacedStarts(mPlan->mStarts, aPlan->mStarts);
+    ForgetReplacedStarts(mPlan->mIncarnations, aPlan->mIncarnations);
   }
   NoteConfiguration(*aPlan);
   const bool suspects = aPlan->mSuspects && (!mPlan || aPlan->mSuspects != mPlan->mSuspects);
@@ -125,7 +125,7 @@
     mConnections.ForgetCarriedBy(
       [this](const std::string& aPeer) { return !aPeer.empty() && !mConnector.IsPeer(aPeer); });
   }
-  const RetryKeeperPlan& keeper = mPlan->mRetryKeeper;
+  const RetryBudgetOwnerPlan& keeper = mPlan->mRetryBudgetOwner;
   const KeeperRight right =
     keeper.mOwn ? KeeperRight{ keeper.mOwn->mSince, keeper.mOwn->mUntil } : KeeperRight{};
   mRetries.SetFleet({ keeper.mAddress, right, mPlan->mListedNodes });
@@ -150,7 +150,7 @@
 }
 
 void
-RelayCore::ForgetReplacedStarts(const EngineStarts& aBefore, const EngineStarts& aNow)
+RelayCore::ForgetReplacedStarts(const EngineIncarnations& aBefore, const EngineIncarnations& aNow)
 {
   for (const auto& [engine, born] : aNow) {
     const auto known = aBefore.find(engine);
--- a/src/pepperbay/relay/relay_core.hpp
+++ b/src/pepperbay/relay/relay_core.hpp
@@ -29,7 +29,7 @@
   /// Count how long a new version took to reach this thread.
   void NoteConfiguration(const TrafficPlan& aPlan);
   /// What was learnt from an engine's answers says nothing of it once it has started again.
-  void ForgetReplacedStarts(const EngineStarts& aBefore, const EngineStarts& aNow);
+  void ForgetReplacedStarts(const EngineIncarnations& aBefore, const EngineIncarnations& aNow);
   /// @return what is known against a request; a score of 0 for nothing.
   SuspectRequest SuspectOf(const RequestKey& aKey) const;
   /// An engine ran a request to its end, so it is not the cause of any engine's end.
--- a/src/pepperbay/relay/relay_reach_test.cpp
+++ b/src/pepperbay/relay/relay_reach_test.cpp
@@ -114,8 +114,8 @@
       end.wait();
     }
   });
-  mPlan.mIsDesk = false;
-  mPlan.mDesks = { { "desk", "127.0.0.1:9" } };
+  mPlan.mIsAllocator = false;
+  mPlan.mAllocators = { { "desk", "127.0.0.1:9" } };
   Publish();
   /// @return engines that the next question for a place names as failing; a desk that has not
   /// answered is passed over for a while.
--- a/src/pepperbay/relay/relay_retries_test.cpp
+++ b/src/pepperbay/relay/relay_retries_test.cpp
@@ -79,7 +79,7 @@
     });
     mPlan = TrafficPlan();
     mPlan.mListedNodes = 295;
-    mPlan.mRetryKeeper = { "127.0.0.1:1", std::nullopt };
+    mPlan.mRetryBudgetOwner = { "127.0.0.1:1", std::nullopt };
     mRead = 0;
     Serve({ &first, &second });
     auto answer = std::async(std::launch::async, [this] { return Ask(Get("/safe/")); });
--- a/src/pepperbay/relay/relay_test.cpp
+++ b/src/pepperbay/relay/relay_test.cpp
@@ -454,13 +454,13 @@
   Serve({ &silent, &other });
   const WallTime first(std::chrono::milliseconds(1000));
   mPlan.mEngines["plain"][0].mBorn = first;
-  mPlan.mStarts["e0"] = first;
+  mPlan.mIncarnations["e0"] = first;
   Publish();
   auto answer = std::async(std::launch::async, [this] { return Ask(Get("/safe/")); });
   asked.get_future().wait();
   const WallTime second(std::chrono::milliseconds(2000));
   mPlan.mEngines["plain"][0].mBorn = second;
-  mPlan.mStarts["e0"] = second;
+  mPlan.mIncarnations["e0"] = second;
   Publish();
   EXPECT_TRUE(Has(answer.get(), "\r\n\r\nok"));
 }
