--- a/include/pepperbay/admission/fairness_tracker.hpp
+++ b/include/pepperbay/admission/fairness_tracker.hpp
@@ -20,7 +20,7 @@
 struct FairnessOptions
 {
   /// A refused claimant counts as waiting for this long: about the time after which callers retry.
-  Duration mWaits = std::chrono::seconds(1);
+  Duration mRefusalMemory = std::chrono::seconds(1);
   /// Decay time of the count of what a customer was granted.
   Duration mMemory = std::chrono::seconds(5);
 };
--- a/include/pepperbay/routing/engine_limit_table.hpp
+++ b/include/pepperbay/routing/engine_limit_table.hpp
@@ -32,7 +32,7 @@
 IsLimit(double aPerSecond);
 
 /// The limit of one incarnation of an engine, without the answer that stated it.
-struct ToldLimit
+struct IncarnationLimit
 {
   std::uint32_t mEngine = 0;
   WallTime mBorn{}; ///< start time of the engine's incarnation
@@ -67,12 +67,14 @@
   /// this much later.
   static constexpr std::chrono::milliseconds kOrderSlack{ 30 };
   /// A limit reported by another node expires after this; each of its answers repeats it.
-  static constexpr std::chrono::seconds kToldFor{ 10 };
+  static constexpr std::chrono::seconds kReportLifetime{ 10 };
 
   /// An engine answered this node, or another node that reports the answer.
   LimitChange OnStatement(std::uint32_t aEngine, const LimitStatement& aStatement);
   /// Replaces the limits of a service's engines that another node has reported.
-  void SetTold(const std::string& aService, std::vector<ToldLimit> aLimits, TimePoint aNow);
+  void SetReported(const std::string& aService,
+                   std::vector<IncarnationLimit> aLimits,
+                   TimePoint aNow);
   /// The engine has restarted.
   void Forget(std::uint32_t aEngine) { mEntries.erase(aEngine); }
   /// Drops engines that are no longer listed.
@@ -86,21 +88,21 @@
   /// @return the engine's latest statement; null if it never stated a limit.
   const LimitStatement* Find(std::uint32_t aEngine, WallTime aBorn) const;
   /// @return whether neither a statement nor a report of a limit is stored.
-  bool IsEmpty() const { return mEntries.empty() && mTold.empty(); }
+  bool IsEmpty() const { return mEntries.empty() && mReportedLimits.empty(); }
   /// @return the number of engines whose answers state a limit.
   std::size_t Limited() const;
   /// @return the limits stated in engines' answers.
-  std::vector<ToldLimit> Limits() const;
+  std::vector<IncarnationLimit> Limits() const;
 
 private:
-  struct Told
+  struct ReportedLimits
   {
-    std::vector<ToldLimit> mLimits;
+    std::vector<IncarnationLimit> mLimits;
     TimePoint mAt{};
   };
 
   std::unordered_map<std::uint32_t, LimitStatement> mEntries; ///< the newest statement by engine
-  std::map<std::string, Told> mTold;                          ///< by service
+  std::map<std::string, ReportedLimits> mReportedLimits;      ///< by service
 };
 
 } // namespace pepperbay
--- a/include/pepperbay/routing/failure_tracker.hpp
+++ b/include/pepperbay/routing/failure_tracker.hpp
@@ -43,7 +43,7 @@
   /// A node reports that an engine failed one of its requests.
   void OnReport(const std::string& aNode, std::uint32_t aEngine, TimePoint aNow);
   /// A slot allocator reports that an engine fails according to several nodes.
-  void OnTold(std::uint32_t aEngine, TimePoint aNow);
+  void OnAllocatorReport(std::uint32_t aEngine, TimePoint aNow);
 
   /// @return the engines that recently failed requests of this node, by ShortId().
   std::vector<std::uint32_t> Own(TimePoint aNow) const;
@@ -57,7 +57,7 @@
   struct Engine
   {
     TimePoint mOwnUntil{};
-    TimePoint mToldUntil{};
+    TimePoint mReportedUntil{};
     std::map<std::string, TimePoint> mReports; ///< node to the report's expiry
   };
 
--- a/include/pepperbay/routing/refusal_tracker.hpp
+++ b/include/pepperbay/routing/refusal_tracker.hpp
@@ -20,7 +20,7 @@
   Duration mMaxPause = std::chrono::milliseconds(800);
   /// A head that another node reports as refusing is not chosen for this long; the report is
   /// repeated with each slot request.
-  Duration mToldPause = std::chrono::milliseconds(100);
+  Duration mReportedPause = std::chrono::milliseconds(100);
   /// A head's entry is dropped this long after its last pause.
   Duration mForgetAfter = std::chrono::seconds(5);
 };
@@ -47,7 +47,7 @@
   /// A head accepted a request that was sent at `aSentAt`.
   void OnTaken(const std::string& aHead, TimePoint aSentAt);
   /// Another node reports that a head refuses.
-  void OnTold(std::uint32_t aHead, TimePoint aNow);
+  void OnPeerReport(std::uint32_t aHead, TimePoint aNow);
   /// The head has restarted.
   void Forget(const std::string& aHead);
 
@@ -64,7 +64,7 @@
   {
     Duration mPause{ 0 }; ///< zero: only reported by other nodes
     TimePoint mUntil{};   ///< pause after refusals of own requests
-    TimePoint mToldUntil{};
+    TimePoint mReportedUntil{};
   };
 
   RefusalOptions mOptions;
--- a/src/pepperbay/admission/fairness_tracker.cpp
+++ b/src/pepperbay/admission/fairness_tracker.cpp
@@ -9,7 +9,7 @@
 /// Maximum number of customers tracked; a deployment has some tens.
 constexpr std::size_t kMaxCustomers = 1024;
 /// A decayed count below this is dropped.
-constexpr double kNothing = 0.01;
+constexpr double kMinCount = 0.01;
 
 } // namespace
 
@@ -34,10 +34,10 @@
 FairnessTracker::DropOld(TimePoint aNow)
 {
   for (auto it = mRefused.begin(); it != mRefused.end();) {
-    it = aNow - it->second >= mOptions.mWaits ? mRefused.erase(it) : std::next(it);
+    it = aNow - it->second >= mOptions.mRefusalMemory ? mRefused.erase(it) : std::next(it);
   }
   for (auto it = mTaken.begin(); it != mTaken.end();) {
-    it = TakenBy(it->first, aNow) < kNothing ? mTaken.erase(it) : std::next(it);
+    it = TakenBy(it->first, aNow) < kMinCount ? mTaken.erase(it) : std::next(it);
   }
 }
 
@@ -66,7 +66,7 @@
   const double own = TakenBy(aClaimant.mCustomer, aNow);
   return std::any_of(mRefused.begin(), mRefused.end(), [&](const auto& aRefused) {
     const auto& [urgency, customer] = aRefused.first;
-    if (aNow - aRefused.second >= mOptions.mWaits || urgency > aClaimant.mUrgency) {
+    if (aNow - aRefused.second >= mOptions.mRefusalMemory || urgency > aClaimant.mUrgency) {
       return false;
     }
     // A difference below 1 is ignored; otherwise two customers would keep outranking each other.
@@ -77,11 +77,12 @@
 bool
 FairnessTracker::IsEmpty(TimePoint aNow) const
 {
-  return std::all_of(mRefused.begin(),
-                     mRefused.end(),
-                     [&](const auto& aIt) { return aNow - aIt.second >= mOptions.mWaits; }) &&
+  return std::all_of(
+           mRefused.begin(),
+           mRefused.end(),
+           [&](const auto& aIt) { return aNow - aIt.second >= mOptions.mRefusalMemory; }) &&
          std::all_of(mTaken.begin(), mTaken.end(), [&](const auto& aIt) {
-           return TakenBy(aIt.first, aNow) < kNothing;
+           return TakenBy(aIt.first, aNow) < kMinCount;
          });
 }
 
--- a/src/pepperbay/places/place_agent.cpp
+++ b/src/pepperbay/places/place_agent.cpp
@@ -342,7 +342,7 @@
   }
   const auto outcome = OutcomeOf(answer.outcome());
   for (const auto it : answer.failing()) {
-    mBalancer->Failures().OnTold(it, Now());
+    mBalancer->Failures().OnAllocatorReport(it, Now());
   }
   PlaceTicket ticket;
   if (outcome == PlaceOutcome::kGranted) {
--- a/src/pepperbay/places/place_desk.cpp
+++ b/src/pepperbay/places/place_desk.cpp
@@ -116,7 +116,7 @@
 PlaceAgent::TakeWord(const Asker& aAsker, const proto::PlaceAsk& aAsk, proto::PlaceAnswer* aAnswer)
 {
   for (const auto it : aAsk.refusing()) {
-    mBalancer->Refusals().OnTold(it, Now());
+    mBalancer->Refusals().OnPeerReport(it, Now());
   }
   for (const auto it : aAsk.failing()) {
     mBalancer->Failures().OnReport(aAsker.mNode, it, Now());
--- a/src/pepperbay/places/place_limits.cpp
+++ b/src/pepperbay/places/place_limits.cpp
@@ -320,13 +320,13 @@
 void
 PlaceAgent::TakeLimited(const std::string& aService, const proto::PlaceAnswer& aAnswer)
 {
-  std::vector<ToldLimit> told;
+  std::vector<IncarnationLimit> told;
   for (const auto& it : aAnswer.limited()) {
     if (IsUsable(it)) {
       told.push_back({ it.engine(), BornOf(it.born_ms()), it.per_second() });
     }
   }
-  mBalancer->Limits().SetTold(aService, std::move(told), Now());
+  mBalancer->Limits().SetReported(aService, std::move(told), Now());
 }
 
 void
--- a/src/pepperbay/routing/balancer_test.cpp
+++ b/src/pepperbay/routing/balancer_test.cpp
@@ -186,10 +186,10 @@
   TrafficPlan plan;
   plan.mEngines["alerts"] = { { "a", "10.0.0.1:80", "here" }, { "b", "10.0.0.2:80", "there" } };
   Balancer balancer{ BalancerOptions{ "here" } };
-  balancer.Failures().OnTold(ShortId("a"), clock.Now());
+  balancer.Failures().OnAllocatorReport(ShortId("a"), clock.Now());
   EXPECT_EQ(balancer.PickEngine(plan, "alerts", {}, true, clock.Now())->mId, "b");
   EXPECT_EQ(balancer.PickEngine(plan, "alerts", {}, false, clock.Now())->mId, "a");
-  balancer.Failures().OnTold(ShortId("b"), clock.Now());
+  balancer.Failures().OnAllocatorReport(ShortId("b"), clock.Now());
   EXPECT_NE(balancer.PickEngine(plan, "alerts", {}, true, clock.Now()), nullptr)
     << "one of them is still chosen";
 }
--- a/src/pepperbay/routing/engine_limit_table.cpp
+++ b/src/pepperbay/routing/engine_limit_table.cpp
@@ -7,7 +7,7 @@
 namespace {
 
 /// Delay from an engine's answer until the node that counts its requests has been notified.
-constexpr std::chrono::milliseconds kTellingTakes{ 500 };
+constexpr std::chrono::milliseconds kNotificationDelay{ 500 };
 
 /// @return whether a statement allows fewer requests than the other.
 bool
@@ -87,14 +87,14 @@
 }
 
 void
-EngineLimitTable::SetTold(const std::string& aService,
-                          std::vector<ToldLimit> aLimits,
-                          TimePoint aNow)
+EngineLimitTable::SetReported(const std::string& aService,
+                              std::vector<IncarnationLimit> aLimits,
+                              TimePoint aNow)
 {
   if (aLimits.empty()) {
-    mTold.erase(aService);
+    mReportedLimits.erase(aService);
   } else {
-    mTold[aService] = { std::move(aLimits), aNow };
+    mReportedLimits[aService] = { std::move(aLimits), aNow };
   }
 }
 
@@ -127,13 +127,13 @@
   if (known != nullptr && known->mPerSecond) {
     return known->mPerSecond;
   }
-  for (const auto& [service, told] : mTold) {
+  for (const auto& [service, reported] : mReportedLimits) {
     // The reporting node may not know yet what the engine has stated to this node since.
-    const bool older = known != nullptr && told.mAt < known->mAnswered + kTellingTakes;
-    if (older || aNow - told.mAt >= kToldFor) {
+    const bool older = known != nullptr && reported.mAt < known->mAnswered + kNotificationDelay;
+    if (older || aNow - reported.mAt >= kReportLifetime) {
       continue;
     }
-    for (const auto& it : told.mLimits) {
+    for (const auto& it : reported.mLimits) {
       if (it.mEngine == aEngine && it.mBorn == aBorn) {
         return it.mPerSecond;
       }
@@ -142,10 +142,10 @@
   return std::nullopt;
 }
 
-std::vector<ToldLimit>
+std::vector<IncarnationLimit>
 EngineLimitTable::Limits() const
 {
-  std::vector<ToldLimit> limits;
+  std::vector<IncarnationLimit> limits;
   for (const auto& [engine, statement] : mEntries) {
     if (statement.mPerSecond) {
       limits.push_back({ engine, statement.mBorn, *statement.mPerSecond });
--- a/src/pepperbay/routing/failure_tracker.cpp
+++ b/src/pepperbay/routing/failure_tracker.cpp
@@ -20,7 +20,7 @@
       report = report->second <= aNow ? reports.erase(report) : std::next(report);
     }
     const bool over =
-      reports.empty() && it->second.mOwnUntil <= aNow && it->second.mToldUntil <= aNow;
+      reports.empty() && it->second.mOwnUntil <= aNow && it->second.mReportedUntil <= aNow;
     it = over && it->first != aEngine ? mEngines.erase(it) : std::next(it);
   }
   return mEngines[aEngine];
@@ -41,9 +41,9 @@
 }
 
 void
-FailureTracker::OnTold(std::uint32_t aEngine, TimePoint aNow)
+FailureTracker::OnAllocatorReport(std::uint32_t aEngine, TimePoint aNow)
 {
-  Entry(aEngine, aNow).mToldUntil = aNow + mOptions.mMemory / 2;
+  Entry(aEngine, aNow).mReportedUntil = aNow + mOptions.mMemory / 2;
 }
 
 bool
@@ -85,7 +85,7 @@
 FailureTracker::Fails(std::uint32_t aEngine, TimePoint aNow) const
 {
   const auto it = mEngines.find(aEngine);
-  return it != mEngines.end() && (it->second.mOwnUntil > aNow || it->second.mToldUntil > aNow ||
+  return it != mEngines.end() && (it->second.mOwnUntil > aNow || it->second.mReportedUntil > aNow ||
                                   IsAgreed(it->second, aNow));
 }
 
--- a/src/pepperbay/routing/failure_tracker_test.cpp
+++ b/src/pepperbay/routing/failure_tracker_test.cpp
@@ -54,7 +54,7 @@
   EXPECT_EQ(node.Own(now), std::vector<std::uint32_t>{ kEngine });
   EXPECT_TRUE(node.Fails(kEngine, now));
   EXPECT_FALSE(node.Fails(kEngine, now + seconds(2)));
-  node.OnTold(kEngine, now + seconds(2));
+  node.OnAllocatorReport(kEngine, now + seconds(2));
   EXPECT_TRUE(node.Fails(kEngine, now + seconds(2)));
   EXPECT_TRUE(node.Own(now + seconds(2)).empty()) << "received reports are not passed on";
   EXPECT_FALSE(node.Fails(kEngine, now + seconds(3)));
--- a/src/pepperbay/routing/refusal_tracker.cpp
+++ b/src/pepperbay/routing/refusal_tracker.cpp
@@ -37,16 +37,16 @@
 RefusalTracker::DropOld(TimePoint aNow)
 {
   for (auto it = mRefusals.begin(); it != mRefusals.end();) {
-    const TimePoint last = std::max(it->second.mUntil, it->second.mToldUntil);
+    const TimePoint last = std::max(it->second.mUntil, it->second.mReportedUntil);
     it = aNow - last >= mOptions.mForgetAfter ? mRefusals.erase(it) : std::next(it);
   }
 }
 
 void
-RefusalTracker::OnTold(std::uint32_t aHead, TimePoint aNow)
+RefusalTracker::OnPeerReport(std::uint32_t aHead, TimePoint aNow)
 {
   DropOld(aNow);
-  mRefusals[aHead].mToldUntil = aNow + mOptions.mToldPause;
+  mRefusals[aHead].mReportedUntil = aNow + mOptions.mReportedPause;
 }
 
 void
@@ -59,7 +59,7 @@
 RefusalTracker::Refuses(std::uint32_t aHead, TimePoint aNow) const
 {
   const auto it = mRefusals.find(aHead);
-  return it != mRefusals.end() && aNow < std::max(it->second.mUntil, it->second.mToldUntil);
+  return it != mRefusals.end() && aNow < std::max(it->second.mUntil, it->second.mReportedUntil);
 }
 
 std::vector<std::uint32_t>
--- a/src/pepperbay/routing/refusal_tracker_test.cpp
+++ b/src/pepperbay/routing/refusal_tracker_test.cpp
@@ -59,7 +59,7 @@
 
 TEST_F(RefusalTrackerTest, AnotherNodesReportExpiresSoonAndIsNotPassedOn)
 {
-  mTracker.OnTold(ShortId(mHead), mNow);
+  mTracker.OnPeerReport(ShortId(mHead), mNow);
   EXPECT_TRUE(Refuses());
   EXPECT_TRUE(mTracker.Refusing(mNow).empty());
   mNow += milliseconds(100);
