--- a/include/pepperbay/dispatch/attempted_engines.hpp
+++ b/include/pepperbay/dispatch/attempted_engines.hpp
@@ -22,15 +22,15 @@
 /// sending it to the same engine again does not count.
 ///
 /// @code
-/// asked.OnSent("e1", { "g1", 7 });
-/// asked.OnNotTaken("e1");
-/// asked.OnceMore(formedAnew); // { "e1" }
+/// engines.OnSent("e1", { "g1", 7 });
+/// engines.OnNotTaken("e1");
+/// engines.Retryable(isReFormed); // { "e1" }
 /// @endcode
 class AttemptedEngines
 {
 public:
   /// @return whether the engine is the head of the same replica, re-formed since (a higher epoch).
-  using FormedAnew =
+  using IsReFormedFn =
     std::function<bool(const std::string& aEngine, const AttemptedReplica& aAsked)>;
 
   void OnSent(const std::string& aEngine, AttemptedReplica aReplica);
@@ -44,7 +44,7 @@
   int Count() const { return static_cast<int>(mEngines.size()); }
   /// @return engines that did not take the request, or whose replica was re-formed since; each is
   /// returned for one second attempt at most.
-  std::set<std::string> OnceMore(const FormedAnew& aFormedAnew) const;
+  std::set<std::string> Retryable(const IsReFormedFn& aIsReFormed) const;
 
 private:
   struct Asked
--- a/include/pepperbay/dispatch/claims.hpp
+++ b/include/pepperbay/dispatch/claims.hpp
@@ -47,7 +47,7 @@
   std::string mKey;
   std::string mClaimId;           ///< unique to this attempt
   std::uint64_t mFingerprint = 0; ///< hash of the request; 0 when unknown
-  Duration mPatience{ 0 };        ///< time after which the claim is abandoned
+  Duration mTimeLimit{ 0 };       ///< time after which the claim is abandoned
 };
 
 struct ClaimVerdict
--- a/include/pepperbay/dispatch/failure_step.hpp
+++ b/include/pepperbay/dispatch/failure_step.hpp
@@ -19,8 +19,8 @@
   Duration mLeft{ 0 };       ///< until its deadline
   bool mHasTarget = false;   ///< another engine is available
   bool mHasBudget = false;   ///< the retry budget allows one more retry
-  bool mHeldBack = false;    ///< quarantined: engines exited while running it, and others may too
-  Duration mPatience{ 0 };   ///< how long its caller waits for the next part of the answer
+  bool mQuarantined = false; ///< quarantined: engines exited while running it, and others may too
+  Duration mCallerWait{ 0 }; ///< how long its caller waits for the next part of the answer
 };
 
 enum class FailureStep
@@ -40,6 +40,6 @@
 
 /// @return why no further attempt is allowed, for the log; empty if one is.
 std::string
-WhyNotAgain(const RequestProgress& aProgress);
+RetryDenialReason(const RequestProgress& aProgress);
 
 } // namespace pepperbay
--- a/scripts/mutants/retries.sh
+++ b/scripts/mutants/retries.sh
@@ -35,6 +35,6 @@
 mutant "a request earns at each desk that is asked" $s/places/place_agent.cpp \
   's/  ask->set_counted\(aPending.mDesksAsked > 0\);//' places_place_agent_test '*EarnsOnce*'
 mutant "a stream without a second attempt is cut at once" $s/dispatch/failure_step.cpp \
-  's/waits \&\& WhyNotAgain/false \&\& WhyNotAgain/' relay_relay_retries_test 'RelayAwaited*'
+  's/waits \&\& RetryDenialReason/false \&\& RetryDenialReason/' relay_relay_retries_test 'RelayAwaited*'
 mutant "what was broken off is sent over a kept connection" $s/relay/exchange_sending.cpp \
   's/ \|\| mAvoidsKept//' relay_relay_kept_test '*GoesOnOverANewConnection*'
--- a/src/pepperbay/control/claim_desk.cpp
+++ b/src/pepperbay/control/claim_desk.cpp
@@ -74,7 +74,7 @@
 void
 ClaimDesk::Claim(const KeyClaim& aClaim, Done aDone)
 {
-  mPending[aClaim.mClaimId] = { aClaim.mKey, mHooks.mNow() + aClaim.mPatience, std::move(aDone) };
+  mPending[aClaim.mClaimId] = { aClaim.mKey, mHooks.mNow() + aClaim.mTimeLimit, std::move(aDone) };
   proto::ClaimRecord record =
     MakeClaimRecord(proto::ClaimRecord::CLAIM, aClaim.mKey, aClaim.mClaimId);
   record.set_fingerprint(aClaim.mFingerprint);
--- a/src/pepperbay/dispatch/attempt.cpp
+++ b/src/pepperbay/dispatch/attempt.cpp
@@ -60,7 +60,7 @@
   progress.mHasTarget = true; // the caller looks for a target itself
   progress.mHasBudget = aBudget->Left() >= 1.0;
   if (AfterFailure(progress) != FailureStep::kSendAgain) {
-    return Finish(WhyNotAgain(progress) + ("; last: " + aFailure.mDetail));
+    return Finish(RetryDenialReason(progress) + ("; last: " + aFailure.mDetail));
   }
   aBudget->TakeRetry();
   if (began && aFailure.mCanResume) {
--- a/src/pepperbay/dispatch/attempted_engines.cpp
+++ b/src/pepperbay/dispatch/attempted_engines.cpp
@@ -41,11 +41,11 @@
 }
 
 std::set<std::string>
-AttemptedEngines::OnceMore(const FormedAnew& aFormedAnew) const
+AttemptedEngines::Retryable(const IsReFormedFn& aIsReFormed) const
 {
   std::set<std::string> engines;
   for (const auto& [engine, asked] : mEngines) {
-    const bool free = asked.mNotTaken || aFormedAnew(engine, asked.mReplica);
+    const bool free = asked.mNotTaken || aIsReFormed(engine, asked.mReplica);
     if (asked.mTimes < kMaxAttemptsPerEngine && free) {
       engines.insert(engine);
     }
--- a/src/pepperbay/dispatch/attempted_engines_test.cpp
+++ b/src/pepperbay/dispatch/attempted_engines_test.cpp
@@ -21,10 +21,10 @@
   asked.OnSent("a", { "g", 1 });
   asked.OnSent("b", { "h", 1 });
   asked.OnNotTaken("b");
-  EXPECT_EQ(asked.OnceMore(&Never), (Names{ "b" }));
+  EXPECT_EQ(asked.Retryable(&Never), (Names{ "b" }));
   asked.OnSent("b", { "h", 1 });
   asked.OnNotTaken("b");
-  EXPECT_EQ(asked.OnceMore(&Never), Names{});
+  EXPECT_EQ(asked.Retryable(&Never), Names{});
   EXPECT_EQ(asked.Count(), 2);
 }
 
@@ -37,12 +37,12 @@
   const auto reFormed = [&epoch](const std::string& aEngine, const AttemptedReplica& aAsked) {
     return aEngine == "a" && aAsked.mGroup == "g" && epoch > aAsked.mEpoch;
   };
-  EXPECT_EQ(asked.OnceMore(reFormed), Names{});
+  EXPECT_EQ(asked.Retryable(reFormed), Names{});
   epoch = 2;
-  EXPECT_EQ(asked.OnceMore(reFormed), (Names{ "a" }));
+  EXPECT_EQ(asked.Retryable(reFormed), (Names{ "a" }));
   asked.OnSent("a", { "g", 2 });
   epoch = 3;
-  EXPECT_EQ(asked.OnceMore(reFormed), Names{});
+  EXPECT_EQ(asked.Retryable(reFormed), Names{});
 }
 
 /// Guards against attempts being used up by engines that were never reached.
@@ -68,7 +68,7 @@
     const std::string engine(1, static_cast<char>('a' + *rc::gen::inRange(0, 4)));
     const bool formed = *rc::gen::arbitrary<bool>();
     const auto reFormed = [formed](const std::string&, const AttemptedReplica&) { return formed; };
-    const Names again = asked.OnceMore(reFormed);
+    const Names again = asked.Retryable(reFormed);
     for (const auto& it : again) {
       RC_ASSERT(sent[it] == 1);
     }
@@ -90,7 +90,7 @@
   asked.OnSent("e1", { "g1", 7 });
   asked.OnUnreached("e1");
   const auto never = [](const std::string&, const AttemptedReplica&) { return false; };
-  EXPECT_EQ(asked.OnceMore(never), std::set<std::string>{ "e1" });
+  EXPECT_EQ(asked.Retryable(never), std::set<std::string>{ "e1" });
 }
 
 } // namespace
--- a/src/pepperbay/dispatch/failure_step.cpp
+++ b/src/pepperbay/dispatch/failure_step.cpp
@@ -8,12 +8,12 @@
 }
 
 std::string
-WhyNotAgain(const RequestProgress& aProgress)
+RetryDenialReason(const RequestProgress& aProgress)
 {
   if (aProgress.mMayHaveRun && !aProgress.mRepeatable) {
     return "it may have run and cannot be sent again";
   }
-  if (aProgress.mHeldBack) {
+  if (aProgress.mQuarantined) {
     return "engines have ended under it";
   }
   if (aProgress.mSent >= aProgress.mMaxSent) {
@@ -34,15 +34,15 @@
 FailureStep
 AfterFailure(const RequestProgress& aProgress)
 {
-  if (WhyNotAgain(aProgress).empty()) {
+  if (RetryDenialReason(aProgress).empty()) {
     return FailureStep::kSendAgain;
   }
   RequestProgress later = aProgress;
   later.mHasTarget = true;
   later.mHasBudget = true;
   // A request that has not run is refused instead, with a time to retry after.
-  const bool waits = aProgress.mMayHaveRun && aProgress.mPatience > Duration::zero();
-  if (waits && WhyNotAgain(later).empty()) {
+  const bool waits = aProgress.mMayHaveRun && aProgress.mCallerWait > Duration::zero();
+  if (waits && RetryDenialReason(later).empty()) {
     return FailureStep::kWait;
   }
   if (aProgress.mAnswerBegun) {
--- a/src/pepperbay/dispatch/failure_step_test.cpp
+++ b/src/pepperbay/dispatch/failure_step_test.cpp
@@ -18,7 +18,7 @@
   progress.mLeft = std::chrono::milliseconds(*rc::gen::inRange(-100, 8000));
   progress.mHasTarget = *rc::gen::arbitrary<bool>();
   progress.mHasBudget = *rc::gen::arbitrary<bool>();
-  progress.mPatience = std::chrono::milliseconds(*rc::gen::inRange(-100, 200));
+  progress.mCallerWait = std::chrono::milliseconds(*rc::gen::inRange(-100, 200));
   return progress;
 }
 
@@ -36,7 +36,8 @@
 RC_GTEST_PROP(FailureStep, ARequestThatIsNotSentAgainHasAReason, ())
 {
   const RequestProgress progress = AnyProgress();
-  RC_ASSERT(WhyNotAgain(progress).empty() == (AfterFailure(progress) == FailureStep::kSendAgain));
+  RC_ASSERT(RetryDenialReason(progress).empty() ==
+            (AfterFailure(progress) == FailureStep::kSendAgain));
 }
 
 /// Guards against keeping callers waiting when no attempt can follow, or longer than they wait.
@@ -44,7 +45,7 @@
 {
   const RequestProgress progress = AnyProgress();
   if (AfterFailure(progress) == FailureStep::kWait) {
-    RC_ASSERT(progress.mPatience > Duration::zero());
+    RC_ASSERT(progress.mCallerWait > Duration::zero());
     RC_ASSERT(progress.mRepeatable && progress.mMayHaveRun);
     RC_ASSERT(progress.mSent < progress.mMaxSent);
     RC_ASSERT(!progress.mHasBudget || !progress.mHasTarget);
@@ -74,7 +75,7 @@
   EXPECT_EQ(AfterFailure(progress), FailureStep::kSendAgain);
   progress.mHasBudget = false;
   EXPECT_EQ(AfterFailure(progress), FailureStep::kFail);
-  progress.mPatience = std::chrono::seconds(1);
+  progress.mCallerWait = std::chrono::seconds(1);
   EXPECT_EQ(AfterFailure(progress), FailureStep::kWait);
   progress.mMayHaveRun = false;
   EXPECT_EQ(AfterFailure(progress), FailureStep::kRefuse);
--- a/src/pepperbay/gateway/gateway_claims.cpp
+++ b/src/pepperbay/gateway/gateway_claims.cpp
@@ -43,7 +43,7 @@
   claim.mKey = ClaimKeyOf(*aJob);
   claim.mClaimId = aJob->mClaimId;
   claim.mFingerprint = FingerprintOf(aJob->mRequest);
-  claim.mPatience = std::min<Duration>(mSettings.mPlatform.mTimeout * 2, aJob->mDeadline - mNow());
+  claim.mTimeLimit = std::min<Duration>(mSettings.mPlatform.mTimeout * 2, aJob->mDeadline - mNow());
   mClaims.mClaim(claim, [self = weak_from_this(), aJob](const proto::ClaimAnswer& aAnswer) {
     const auto impl = self.lock();
     const std::lock_guard lock(aJob->mMutex);
--- a/src/pepperbay/relay/exchange_ends.cpp
+++ b/src/pepperbay/relay/exchange_ends.cpp
@@ -137,7 +137,7 @@
   }
   mCurrent.mFailed = true;
   const RequestProgress progress = Progress();
-  LogFailedAttempt(mCurrent, aWhy, aMayHaveRun, WhyNotAgain(progress));
+  LogFailedAttempt(mCurrent, aWhy, aMayHaveRun, RetryDenialReason(progress));
   DropAttempt();
   AfterAttempt(aWhy, progress);
 }
@@ -155,10 +155,10 @@
   progress.mLeft = Left();
   progress.mHasTarget = mConnectFailures < kMostConnectFailures && HasTarget();
   progress.mHasBudget = mSent == 0 || HasBudget();
-  progress.mHeldBack = IsHeldBack();
+  progress.mQuarantined = IsHeldBack();
   if (mService->mPool && !mFallback) {
     const TimePoint last = mStreamStarted ? mPassedAt : mArrived;
-    progress.mPatience = last + kHopelessAfter - mCore->Now();
+    progress.mCallerWait = last + kHopelessAfter - mCore->Now();
   }
   return progress;
 }
@@ -200,7 +200,7 @@
       return;
     case FailureStep::kWait:
       mPhase = Phase::kPlacing;
-      CountRefusedMove(WhyNotAgain(aProgress));
+      CountRefusedMove(RetryDenialReason(aProgress));
       mAwaited = AwaitedAttempt{ aWhy, mCore->Now() + kMoveAgainAfter };
       return;
     case FailureStep::kRefuse:
--- a/src/pepperbay/relay/exchange_sending.cpp
+++ b/src/pepperbay/relay/exchange_sending.cpp
@@ -194,7 +194,7 @@
     const PoolReplica* replica = ReplicaInPlan(aAsked.mGroup);
     return replica != nullptr && replica->mHead.mId == aEngine && replica->mEpoch > aAsked.mEpoch;
   };
-  std::set<std::string> engines = mAsked.OnceMore(formedAnew);
+  std::set<std::string> engines = mAsked.Retryable(formedAnew);
   if (mCurrent.mAttempt && !mCurrent.mFailed) {
     engines.erase(mCurrent.mTarget.mEngine);
   }
