--- a/bench/retries.cpp
+++ b/bench/retries.cpp
@@ -120,8 +120,8 @@
   RetryWorld world(WorldOf(aNodes));
   const RetryLimits limits{ 0.2, 134, seconds(10) };
   RetryParts parts;
-  parts.mOwnDepth = 0.45;
-  parts.mOwnRate = 0.5;
+  parts.mNodesDepth = 0.45;
+  parts.mNodesRate = 0.5;
   parts.mRareRate = 0.5;
   std::map<std::size_t, OwnRetries> owns;
   std::map<std::size_t, EarnedRetries> earneds;
--- a/include/pepperbay/admission/retry_limits.hpp
+++ b/include/pepperbay/admission/retry_limits.hpp
@@ -23,17 +23,17 @@
   /// windows.
   double mEarned = 0.5;
   /// Of the slack, for the retry budget owner: bucket depth, and refill per window.
-  double mKeptDepth = 0.35;
-  double mKeptRate = 0.4;
+  double mOwnerDepth = 0.35;
+  double mOwnerRate = 0.4;
   /// Of the slack, for all nodes together without the retry budget owner: bucket depth, and refill
   /// per window.
-  double mOwnDepth = 0.1;
-  double mOwnRate = 0.1;
+  double mNodesDepth = 0.1;
+  double mNodesRate = 0.1;
   /// Of the slack, in place of these two: what nodes spend per window when each spends at times of
   /// its own. Such times coincide by chance, so it is less, and nothing where both together are
-  /// under `mLeastOwn` retries.
+  /// under `mMinRareRetries` retries.
   double mRareRate = 0.05;
-  double mLeastOwn = 5;
+  double mMinRareRetries = 5;
 };
 
 } // namespace pepperbay
--- a/include/pepperbay/retries/own_retries.hpp
+++ b/include/pepperbay/retries/own_retries.hpp
@@ -32,7 +32,7 @@
 private:
   TokenBucket& BucketOf(const std::string& aService, int aNodes, TimePoint aNow);
   /// @return whether the part is at least one.
-  bool IsWhole(int aNodes) const { return mLimits.mSlack * mParts.mOwnDepth >= aNodes; }
+  bool IsWhole(int aNodes) const { return mLimits.mSlack * mParts.mNodesDepth >= aNodes; }
   /// @param aPart of the slack, in a window
   double PerSecond(double aPart) const;
 
--- a/include/pepperbay/routing/balancer.hpp
+++ b/include/pepperbay/routing/balancer.hpp
@@ -50,7 +50,7 @@
   double mWaitShare = 0.5;
   /// The costs below are expected delays of a request's first event. Each request in progress slows
   /// each of the few steps before that event by about 1 %.
-  Duration mCrowdCost = std::chrono::microseconds(1500);
+  Duration mInFlightCost = std::chrono::microseconds(1500);
   /// Per request that is queued for a slot: an answer takes about a second, and a replica has some
   /// tens of slots.
   Duration mQueueCost = std::chrono::milliseconds(60);
--- a/include/pepperbay/routing/router.hpp
+++ b/include/pepperbay/routing/router.hpp
@@ -106,16 +106,16 @@
 struct RouteOptions
 {
   Duration mSlowStart =
-    std::chrono::seconds(10); ///< warm-up time of a replica that is complete again
-  double mWarmest = 4.0;      ///< load factor at the start of the warm-up
-  double mOthersWeight = 0.1; ///< weight of others' mean load against this node's own
-  double mNodes = 1;          ///< nodes that share the pool, assumed to carry equal load
-  double mPrefixWorth = 2.0;  ///< load per slot that a cached prefix outweighs in an idle pool
-  double mFullness = 0.0;     ///< fraction of the pool's slots in use, 0 to 1
-  double mPrefixEase = 0.4;   ///< free fraction of the pool from which a prefix has its full worth
-  double mComfort = 1.0;      ///< load per slot above which queueing is likely
-  double mCrowded = 2.0;      ///< load factor above mComfort
-  double mSpillAt = 1.0;      ///< load per slot from which the whole pool is used, not the subset
+    std::chrono::seconds(10);    ///< warm-up time of a replica that is complete again
+  double mSlowStartFactor = 4.0; ///< load factor at the start of the warm-up
+  double mOthersWeight = 0.1;    ///< weight of others' mean load against this node's own
+  double mNodes = 1;             ///< nodes that share the pool, assumed to carry equal load
+  double mPrefixWorth = 2.0;     ///< load per slot that a cached prefix outweighs in an idle pool
+  double mFullness = 0.0;        ///< fraction of the pool's slots in use, 0 to 1
+  double mPrefixEase = 0.4; ///< free fraction of the pool from which a prefix has its full worth
+  double mComfort = 1.0;    ///< load per slot above which queueing is likely
+  double mCrowded = 2.0;    ///< load factor above mComfort
+  double mSpillAt = 1.0;    ///< load per slot from which the whole pool is used, not the subset
 };
 
 /// The properties of a request that routing uses.
--- a/scripts/mutants/retries.sh
+++ b/scripts/mutants/retries.sh
@@ -14,7 +14,7 @@
 mutant "a request earns the whole share" $retries/retry_agent.cpp \
   's/mOptions.mLimits.mShare \* mOptions.mParts.mEarned/2.5 * mOptions.mLimits.mShare/' $agent '*TheSumHolds*'
 mutant "nodes have whole parts of their own" $retries/own_retries.cpp \
-  's/PerSecond\(mParts.mOwnRate\) \/ aNodes/PerSecond(mParts.mOwnRate)/; s/mParts.mOwnDepth \/ aNodes/mParts.mOwnDepth/' \
+  's/PerSecond\(mParts.mNodesRate\) \/ aNodes/PerSecond(mParts.mNodesRate)/; s/mParts.mNodesDepth \/ aNodes/mParts.mNodesDepth/' \
   $agent '*StayWithinTheirPart*'
 mutant "the keeper is asked for ever" $retries/retry_agent.cpp \
   's/now - pending.mSent >= mOptions.mGiveUpAfter/false/' $agent '*OneTimeout*'
--- a/src/pepperbay/retries/own_retries.cpp
+++ b/src/pepperbay/retries/own_retries.cpp
@@ -20,8 +20,8 @@
 TokenBucket&
 OwnRetries::BucketOf(const std::string& aService, int aNodes, TimePoint aNow)
 {
-  const TokenBucket::Options options{ PerSecond(mParts.mOwnRate) / aNodes,
-                                      mLimits.mSlack * mParts.mOwnDepth / aNodes };
+  const TokenBucket::Options options{ PerSecond(mParts.mNodesRate) / aNodes,
+                                      mLimits.mSlack * mParts.mNodesDepth / aNodes };
   TokenBucket& bucket = mBuckets.emplace(aService, TokenBucket(options, aNow)).first->second;
   if (bucket.Current().mPerSecond != options.mPerSecond) {
     bucket.SetOptions(options, aNow);
@@ -35,7 +35,7 @@
   if (IsWhole(aNodes)) {
     return BucketOf(aService, aNodes, aNow).Level(aNow) >= 1.0;
   }
-  return mLimits.mSlack * (mParts.mOwnDepth + mParts.mOwnRate) >= mParts.mLeastOwn &&
+  return mLimits.mSlack * (mParts.mNodesDepth + mParts.mNodesRate) >= mParts.mMinRareRetries &&
          mRare.MayUse(ShortId(aService), PerSecond(mParts.mRareRate), aNodes, aNow);
 }
 
--- a/src/pepperbay/retries/retry_keeper.cpp
+++ b/src/pepperbay/retries/retry_keeper.cpp
@@ -9,8 +9,8 @@
 TokenBucket::Options
 OptionsOf(const RetryLimits& aLimits, const RetryParts& aParts)
 {
-  const double all = aLimits.mSlack * (aParts.mKeptDepth + aParts.mKeptRate);
-  const double depth = std::max(1.0, aLimits.mSlack * aParts.mKeptDepth);
+  const double all = aLimits.mSlack * (aParts.mOwnerDepth + aParts.mOwnerRate);
+  const double depth = std::max(1.0, aLimits.mSlack * aParts.mOwnerDepth);
   const double window = std::chrono::duration<double>(aLimits.mWindow).count();
   return { std::max(0.0, all - depth) / window, depth };
 }
--- a/src/pepperbay/routing/balancer.cpp
+++ b/src/pepperbay/routing/balancer.cpp
@@ -159,7 +159,7 @@
 {
   const std::string& head = aReplica.mHead.mId;
   const int inFlight = InFlight(aPlan, head);
-  Duration cost = mOptions.mCrowdCost * inFlight;
+  Duration cost = mOptions.mInFlightCost * inFlight;
   cost += mOptions.mQueueCost * std::max(0, inFlight + 1 - aSlots);
   const auto reads = mReadsUntil.find(head);
   if (reads != mReadsUntil.end()) {
--- a/src/pepperbay/routing/router.cpp
+++ b/src/pepperbay/routing/router.cpp
@@ -142,7 +142,7 @@
   if (age < aOptions.mSlowStart) {
     const double left = 1.0 - std::chrono::duration<double>(age) / aOptions.mSlowStart;
     load = (load + 1.0 / std::max(1, aTarget.mSlots)) *
-           (1.0 + (aOptions.mWarmest - 1.0) * std::clamp(left, 0.0, 1.0));
+           (1.0 + (aOptions.mSlowStartFactor - 1.0) * std::clamp(left, 0.0, 1.0));
   }
   // In a full pool a request sent to the owner of its prefix waits there while another replica has
   // a free slot, and the wait costs more than the prefill that it saves.
