--- a/include/pepperbay/admission/fairness_tracker.hpp
+++ b/include/pepperbay/admission/fairness_tracker.hpp
@@ -29,7 +29,7 @@
 /// that was granted less.
 ///
 /// @code
-/// if (turns.IsOutranked(claimant, now)) { turns.OnRefused(claimant, now); ... }
+/// if (tracker.IsOutranked(claimant, now)) { tracker.OnRefused(claimant, now); ... }
 /// @endcode
 class FairnessTracker
 {
--- a/include/pepperbay/admission/retry_limits.hpp
+++ b/include/pepperbay/admission/retry_limits.hpp
@@ -29,9 +29,9 @@
   /// per window.
   double mNodesDepth = 0.1;
   double mNodesRate = 0.1;
-  /// Of the slack, in place of these two: what nodes spend per window when each spends at times of
-  /// its own. Such times coincide by chance, so it is less, and nothing where both together are
-  /// under `mMinRareRetries` retries.
+  /// Of the slack, instead of these two if the depth is below one retry per node: each node then
+  /// spends at times of its own. Such times coincide by chance, so the rate is lower, and it is
+  /// zero if depth and rate together are under `mMinRareRetries` retries.
   double mRareRate = 0.05;
   double mMinRareRetries = 5;
 };
--- a/include/pepperbay/routing/engine_limit_table.hpp
+++ b/include/pepperbay/routing/engine_limit_table.hpp
@@ -56,8 +56,8 @@
 ///
 /// @code
 /// if (table.OnStatement(ShortId(engine), statement) == LimitChange::kLearned) { ... }
-/// if (const auto limit = table.LimitOf(ShortId(engine), born, now)) { ... at most *limit per
-/// second
+/// if (const auto limit = table.AnyLimitOf(ShortId(engine), born, now)) {
+///   ... at most *limit requests per second
 /// }
 /// @endcode
 class EngineLimitTable
--- a/include/pepperbay/routing/router.hpp
+++ b/include/pepperbay/routing/router.hpp
@@ -25,7 +25,7 @@
 class ReplicaLoad
 {
 public:
-  /// Counts a new request. @return false if the replica is closed; choose another one then.
+  /// Counts a new request. @return false if the replica is closed; another one must be chosen.
   ///
   /// A request is counted before the check for closing, and the replica is closed before the count
   /// is read. So a request of a thread with an old table is either seen by the control thread or
