--- a/include/pepperbay/places/rate_ledger.hpp
+++ b/include/pepperbay/places/rate_ledger.hpp
@@ -4,7 +4,7 @@
 #pragma once
 
 #include "pepperbay/admission/token_bucket.hpp"
-#include "pepperbay/admission/turn_book.hpp"
+#include "pepperbay/admission/fairness_tracker.hpp"
 #include "pepperbay/routing/traffic_plan.hpp"
 
 #include <cstdint>
@@ -92,7 +92,7 @@
   };
   struct Queue
   {
-    TurnBook mTurns;
+    FairnessTracker mTurns;
     TimePoint mPromised{}; ///< latest retry time that was handed out
   };
 
--- a/include/pepperbay/places/slot_agent.hpp
+++ b/include/pepperbay/places/slot_agent.hpp
@@ -201,7 +201,7 @@
   {
     SlotRequest mRequest;
     Done mDone;
-    DeskAddress mAllocator;
+    AllocatorAddress mAllocator;
     std::string mBytes;
     TimePoint mSent{};
     bool mResent = false;
@@ -235,7 +235,7 @@
 
   TimePoint Now() const { return mHooks.mNow(); }
   /// @return the best allocator that is not skipped; null for none.
-  const DeskAddress* UsableAllocator() const;
+  const AllocatorAddress* UsableAllocator() const;
   /// Ask the best allocator, or choose locally where there is none.
   void AskAllocator(std::uint64_t aId, Pending aPending);
   void Resend(const Pending& aPending);
@@ -273,8 +273,8 @@
   /// the answer.
   void ApplyReports(const Asker& aAsker, const proto::PlaceAsk& aAsk, proto::PlaceAnswer* aAnswer);
   /// @return the allocator of another data centre, where this node is an allocator; null: none.
-  const DeskAddress* AllocatorOf(const std::string& aDataCentre) const;
-  void Forward(const proto::PlaceAsk& aAsk, const Asker& aAsker, const DeskAddress& aDesk);
+  const AllocatorAddress* AllocatorOf(const std::string& aDataCentre) const;
+  void Forward(const proto::PlaceAsk& aAsk, const Asker& aAsker, const AllocatorAddress& aDesk);
   void Grant(const Choice& aChoice,
              const Asker& aAsker,
              const proto::PlaceAsk& aAsk,
--- a/include/pepperbay/retries/local_retries.hpp
+++ b/include/pepperbay/retries/local_retries.hpp
@@ -33,7 +33,7 @@
 private:
   TokenBucket& BucketOf(const std::string& aService, int aNodes, TimePoint aNow);
   /// @return whether the local share is at least one second attempt.
-  bool HasWholeAttempt(int aNodes) const { return mLimits.mSlack * mParts.mOwnDepth >= aNodes; }
+  bool HasWholeAttempt(int aNodes) const { return mLimits.mSlack * mParts.mNodesDepth >= aNodes; }
   /// @param aPart fraction of the slack that is available in one window
   double PerSecond(double aPart) const;
 
--- a/scripts/mutants/parts.sh
+++ b/scripts/mutants/parts.sh
@@ -16,9 +16,9 @@
 mutant "of equal causes one excuses the other" $s/quarantine/crash_tracker.cpp \
   's/if \(it.mBegun == best.mBegun\)/if (it.mRequest == best.mRequest)/' quarantine_crash_tracker_test '*EqualCauses*'
 mutant "a rush is taken whole" $s/admission/connection_gate.cpp \
-  's/if \(mTaken >= mRate .*/if (false) {/' admission_connection_gate_test '*Rush*'
+  's/if \(mTaken >= mRate .*/if (false) {/' admission_connection_gate_test '*Burst*'
 mutant "connections have no bound" $s/admission/connection_gate.cpp \
-  's/if \(aOpen >= mOptions.mMostOpen\)/if (false)/' admission_connection_gate_test '*MayBeOpen*'
+  's/if \(aOpen >= mOptions.mMaxOpen\)/if (false)/' admission_connection_gate_test '*MayBeOpen*'
 mutant "interim answers have no bound" $s/relay/attempt.cpp \
   's/if \(\+\+mInterim > kMaxInterimAnswers\)/if (false)/' relay_relay_endless_test '*Interim*'
 mutant "kept answers have no bound together" $s/relay/exchange.cpp \
--- a/scripts/mutants/retries.sh
+++ b/scripts/mutants/retries.sh
@@ -14,7 +14,7 @@
 mutant "a request earns the whole share" $retries/retry_agent.cpp \
   's/mOptions.mLimits.mShare \* mOptions.mParts.mEarned/2.5 * mOptions.mLimits.mShare/' $agent '*TheSumHolds*'
 mutant "nodes have whole parts of their own" $retries/local_retries.cpp \
-  's/PerSecond\(mParts.mOwnRate\) \/ aNodes/PerSecond(mParts.mOwnRate)/; s/mParts.mOwnDepth \/ aNodes/mParts.mOwnDepth/' \
+  's/PerSecond\(mParts.mNodesRate\) \/ aNodes/PerSecond(mParts.mNodesRate)/; s/mParts.mNodesDepth \/ aNodes/mParts.mNodesDepth/' \
   $agent '*StayWithinTheirShare*'
 mutant "the keeper is asked for ever" $retries/retry_agent.cpp \
   's/now - pending.mSent >= mOptions.mGiveUpAfter/false/' $agent '*OneTimeout*'
@@ -35,6 +35,6 @@
 mutant "a request earns at each desk that is asked" $s/places/slot_agent.cpp \
   's/  ask->set_counted\(aPending.mAllocatorsAsked > 0\);//' places_slot_agent_test '*EarnsOnce*'
 mutant "a stream without a second attempt is cut at once" $s/dispatch/failure_step.cpp \
-  's/waits \&\& WhyNotAgain/false \&\& WhyNotAgain/' relay_relay_retries_test 'RelayAwaited*'
+  's/waits \&\& RetryDenialReason/false \&\& RetryDenialReason/' relay_relay_retries_test 'RelayAwaited*'
 mutant "what was broken off is sent over a kept connection" $s/relay/exchange_sending.cpp \
   's/ \|\| mAvoidsPooled//' relay_relay_kept_test '*GoesOnOverANewConnection*'
--- a/src/pepperbay/admission/admission.cpp
+++ b/src/pepperbay/admission/admission.cpp
@@ -8,8 +8,8 @@
 namespace {
 
 constexpr double kServiceSmoothing = 0.1;
-constexpr double kLeastShare = 0.001;
-constexpr Duration kLeastRetryAfter = std::chrono::seconds(1);
+constexpr double kMinShare = 0.001;
+constexpr Duration kMinRetryAfter = std::chrono::seconds(1);
 
 } // namespace
 
@@ -45,7 +45,7 @@
 {
   const auto it = mPool.mShares.find(aCustomer);
   const double share = it == mPool.mShares.end() ? mOptions.mDefaultShare : it->second;
-  return std::max(share, kLeastShare);
+  return std::max(share, kMinShare);
 }
 
 std::size_t
@@ -73,11 +73,11 @@
   return std::min(1.0, used / static_cast<double>(mPool.mSlots));
 }
 
-/// What is free in the pool is split evenly between the nodes until they hear of each other again;
-/// or all would fill the same free slots at once. Free means as of the last word: counted anew
-/// after each own start it would creep up to the whole pool. A node that is silent may still be
-/// working, so it counts with its even part: cut off from its peers, each node falls back to that
-/// safe part.
+/// Free slots are split evenly between the nodes until the next usage update; otherwise all nodes
+/// would fill the same free slots at once. Free slots are counted as of the last update: recounted
+/// after each own start, the allowance would creep up to the whole pool. A silent node may still be
+/// serving, so it is counted with its even share; a node that is partitioned from its peers falls
+/// back to its own even share, which is safe.
 std::size_t
 Admission::Allowance() const
 {
@@ -89,12 +89,12 @@
   const std::size_t others = mPool.mSilentNodes * evenPart + mOthersRunning;
   const std::size_t used = others + mBase;
   const std::size_t free = mPool.mSlots > used ? mPool.mSlots - used : 0;
-  const std::size_t least = std::max<std::size_t>(1, evenPart);
+  const std::size_t minimum = std::max<std::size_t>(1, evenPart);
   if (free == 0) {
-    return std::min(mBase, least);
+    return std::min(mBase, minimum);
   }
   const std::size_t lent = mBase + (free + nodes - 1) / nodes;
-  return std::max(lent, std::min(least, mBase + free));
+  return std::max(lent, std::min(minimum, mBase + free));
 }
 
 Duration
@@ -106,7 +106,7 @@
   return std::chrono::duration_cast<Duration>(std::chrono::duration<double>(mServiceSeconds));
 }
 
-/// Expected wait with so many requests ahead: they leave at the rate of the slots held here.
+/// Expected wait behind `aAhead` requests, which leave at the rate of the slots in use here.
 Duration
 Admission::WaitBehind(std::size_t aAhead) const
 {
@@ -121,13 +121,13 @@
   const double running = static_cast<double>(RunningOf(aArrival.mCustomer));
   const std::int64_t levels = (aNow - aSince) / mOptions.mAgeOneLevel;
   const std::int64_t level = static_cast<std::int64_t>(aArrival.mPriority) - levels;
-  return { running >= std::max(1.0, share), level, running / std::max(share, kLeastShare), aSince };
+  return { running >= std::max(1.0, share), level, running / std::max(share, kMinShare), aSince };
 }
 
 AdmissionDecision
 Admission::Refusal(const std::string& aReason, Duration aRetryAfter) const
 {
-  return { AdmissionVerdict::kRefuse, aReason, std::max(aRetryAfter, kLeastRetryAfter) };
+  return { AdmissionVerdict::kRefuse, aReason, std::max(aRetryAfter, kMinRetryAfter) };
 }
 
 void
@@ -141,10 +141,10 @@
 Admission::Arrive(const Arrival& aArrival, TimePoint aNow, std::vector<GivenUp>* aGivenUp)
 {
   if (mPool.mSlots == 0) {
-    return Refusal("no replica is whole", kLeastRetryAfter);
+    return Refusal("no replica is whole", kMinRetryAfter);
   }
   if (aArrival.mDeadline <= aNow) {
-    return Refusal("its deadline has passed", kLeastRetryAfter);
+    return Refusal("its deadline has passed", kMinRetryAfter);
   }
   if (mWaiting.empty() && mRunning.size() < Allowance()) {
     Start(aArrival);
@@ -261,8 +261,8 @@
   std::stable_sort(ranked.begin(), ranked.end(), [](const Ranked& aLeft, const Ranked& aRight) {
     return aLeft.mRank < aRight.mRank;
   });
-  // As soon as a request's turn would come too late, not when its deadline is near: its caller can
-  // then go elsewhere, and those behind it move up.
+  // A request is refused as soon as its expected start is too late, not when its deadline is near:
+  // its caller can try elsewhere, and the requests behind it move up.
   mWaiting.clear();
   for (auto& it : ranked) {
     const TimePoint turn = aNow + WaitBehind(mWaiting.size());
--- a/src/pepperbay/coordinator/coordinator.cpp
+++ b/src/pepperbay/coordinator/coordinator.cpp
@@ -314,32 +314,32 @@
 {
   aPlan->mOthersInFlight = OthersInFlight();
   aPlan->mProxyPeers = mProxyPeers;
-  aPlan->mNews = { mUpdates.Fence(), mUpdates.Change(), mUpdates.AsOf() };
+  aPlan->mUpdate = { mUpdates.Fence(), mUpdates.Change(), mUpdates.AsOf() };
   aPlan->mConfigurationAsOf = ConfigurationAsOf();
   aPlan->mConfigurationTaken = mConfigurationTaken;
   aPlan->mKeysValidUntil = ConfigurationAsOf() + mOptions.mBounds.mKeysTrusted;
   aPlan->mMissesValidUntil = ConfigurationAsOf() + mOptions.mBounds.mMissesTrusted;
   aPlan->mSuspects = mSuspectRequests;
   aPlan->mNodes = LiveNodes();
-  aPlan->mIsDesk = mTree.FollowsItself();
-  aPlan->mDesks.clear();
+  aPlan->mIsAllocator = mTree.FollowsItself();
+  aPlan->mAllocators.clear();
   const auto allocatorOf = [this](const std::string& aNode) {
     const KnownPeer* peer = mPeers.Find(aNode);
-    return DeskAddress{ aNode, peer == nullptr ? std::string() : peer->mAllocatorAddress };
+    return AllocatorAddress{ aNode, peer == nullptr ? std::string() : peer->mAllocatorAddress };
   };
   for (const auto& it : mTree.Delegates()) {
-    aPlan->mDesks.push_back(allocatorOf(it));
+    aPlan->mAllocators.push_back(allocatorOf(it));
   }
-  aPlan->mDesksOf.clear();
+  aPlan->mAllocatorsOf.clear();
   for (const auto& [scope, delegates] : mTree.OtherDelegates()) {
     if (!delegates.empty()) {
-      aPlan->mDesksOf[scope] = allocatorOf(delegates.front());
+      aPlan->mAllocatorsOf[scope] = allocatorOf(delegates.front());
     }
   }
   aPlan->mListedNodes = std::max(LiveNodes(), static_cast<int>(mPeers.Peers().size()) + 1);
   aPlan->mRateLeases = mRateLeases.Current(Now());
   aPlan->mOthersLimits = OthersLimits();
-  aPlan->mRetryKeeper = FindRetryBudgetOwner();
+  aPlan->mRetryBudgetOwner = FindRetryBudgetOwner();
 }
 
 void
--- a/src/pepperbay/coordinator/coordinator_impl.hpp
+++ b/src/pepperbay/coordinator/coordinator_impl.hpp
@@ -71,7 +71,7 @@
   /// Renews the retry lease, which the lease holder grants to itself.
   void RenewRetryLease();
   /// @return the owner of the retry budget, as far as this node knows.
-  RetryKeeperPlan FindRetryBudgetOwner();
+  RetryBudgetOwnerPlan FindRetryBudgetOwner();
   /// @return limits reported by the nodes that count the requests to other data centres' engines.
   EngineLimits OthersLimits() const;
   /// @return these, and the limits that engines have reported to this node.
--- a/src/pepperbay/coordinator/coordinator_rate_leases.cpp
+++ b/src/pepperbay/coordinator/coordinator_rate_leases.cpp
@@ -1,5 +1,5 @@
 #include "coordinator_impl.hpp"
-#include "pepperbay/routing/limit_book.hpp"
+#include "pepperbay/routing/engine_limit_table.hpp"
 
 #include <algorithm>
 #include <set>
@@ -117,10 +117,10 @@
     mGrantedRetryLeases.Grant(self, { kRetryLease }, now), now, mGrantedRetryLeases.Length(), now);
 }
 
-RetryKeeperPlan
+RetryBudgetOwnerPlan
 Coordinator::Impl::FindRetryBudgetOwner()
 {
-  RetryKeeperPlan owner;
+  RetryBudgetOwnerPlan owner;
   owner.mOwn = std::nullopt;
   const RateLeases own = mRetryLeases.Current(Now());
   if (const auto it = own.find(kRetryLease); it != own.end()) {
--- a/src/pepperbay/dispatch/attempt.cpp
+++ b/src/pepperbay/dispatch/attempt.cpp
@@ -27,7 +27,7 @@
 Delivery::BeginAttempt()
 {
   const bool mayRepeat = !mRequest.mUnrepeatable || !mMayHaveRun;
-  if (mFinished || !mayRepeat || mAttempts >= mRequest.mMostAttempts) {
+  if (mFinished || !mayRepeat || mAttempts >= mRequest.mMaxAttempts) {
     return 0;
   }
   return ++mAttempts;
@@ -55,18 +55,18 @@
   progress.mMayHaveRun = mMayHaveRun || began;
   progress.mAnswerBegun = callerHasPart;
   progress.mSent = mAttempts;
-  progress.mMostSent = mRequest.mMostAttempts;
+  progress.mMaxSent = mRequest.mMaxAttempts;
   progress.mLeft = mRequest.mDeadline - aNow;
-  progress.mHasTarget = true; // looked for by whoever makes the attempt
+  progress.mHasTarget = true; // the caller looks for a target itself
   progress.mHasBudget = aBudget->Left() >= 1.0;
   if (AfterFailure(progress) != FailureStep::kSendAgain) {
-    return Finish(WhyNotAgain(progress) + ("; last: " + aFailure.mDetail));
+    return Finish(RetryDenialReason(progress) + ("; last: " + aFailure.mDetail));
   }
   aBudget->TakeRetry();
   if (began && aFailure.mCanResume) {
     return { NextStep::kResume, Ran::kUnknown, aFailure.mDetail };
   }
-  mTokens = 0; // nothing of them has reached the caller; the next attempt begins anew
+  mTokens = 0; // none of them has reached the caller; the next attempt starts over
   return { NextStep::kRetry, Ran::kUnknown, aFailure.mDetail };
 }
 
--- a/src/pepperbay/dispatch/asked_engines.cpp
+++ b/src/pepperbay/dispatch/attempted_engines.cpp
@@ -1,16 +1,16 @@
-#include "pepperbay/dispatch/asked_engines.hpp"
+#include "pepperbay/dispatch/attempted_engines.hpp"
 
 #include <utility>
 
 namespace pepperbay {
 namespace {
 
-constexpr int kMostTimes = 2;
+constexpr int kMaxAttemptsPerEngine = 2;
 
 } // namespace
 
 void
-AskedEngines::OnSent(const std::string& aEngine, AskedReplica aReplica)
+AttemptedEngines::OnSent(const std::string& aEngine, AttemptedReplica aReplica)
 {
   Asked& asked = mEngines[aEngine];
   ++asked.mTimes;
@@ -19,7 +19,7 @@
 }
 
 void
-AskedEngines::OnUnreached(const std::string& aEngine)
+AttemptedEngines::OnUnreached(const std::string& aEngine)
 {
   const auto it = mEngines.find(aEngine);
   if (it == mEngines.end()) {
@@ -32,7 +32,7 @@
 }
 
 void
-AskedEngines::OnNotTaken(const std::string& aEngine)
+AttemptedEngines::OnNotTaken(const std::string& aEngine)
 {
   const auto it = mEngines.find(aEngine);
   if (it != mEngines.end()) {
@@ -41,12 +41,12 @@
 }
 
 std::set<std::string>
-AskedEngines::OnceMore(const FormedAnew& aFormedAnew) const
+AttemptedEngines::Retryable(const IsReFormedFn& aIsReFormed) const
 {
   std::set<std::string> engines;
   for (const auto& [engine, asked] : mEngines) {
-    const bool free = asked.mNotTaken || aFormedAnew(engine, asked.mReplica);
-    if (asked.mTimes < kMostTimes && free) {
+    const bool free = asked.mNotTaken || aIsReFormed(engine, asked.mReplica);
+    if (asked.mTimes < kMaxAttemptsPerEngine && free) {
       engines.insert(engine);
     }
   }
--- a/src/pepperbay/dispatch/failure_step.cpp
+++ b/src/pepperbay/dispatch/failure_step.cpp
@@ -2,24 +2,24 @@
 
 namespace pepperbay {
 namespace {
-/// Less time than this is not enough to connect, run and answer anywhere: a second attempt would
-/// only take a place from a request that can still be served.
-constexpr Duration kLeastUsefulTime = std::chrono::milliseconds(40);
+/// Less time is not enough to connect, run and answer on any engine: a retry would only take a slot
+/// from a request that can still be served.
+constexpr Duration kMinUsefulTime = std::chrono::milliseconds(40);
 }
 
 std::string
-WhyNotAgain(const RequestProgress& aProgress)
+RetryDenialReason(const RequestProgress& aProgress)
 {
   if (aProgress.mMayHaveRun && !aProgress.mRepeatable) {
     return "it may have run and cannot be sent again";
   }
-  if (aProgress.mHeldBack) {
+  if (aProgress.mQuarantined) {
     return "engines have ended under it";
   }
-  if (aProgress.mSent >= aProgress.mMostSent) {
+  if (aProgress.mSent >= aProgress.mMaxSent) {
     return "all attempts failed";
   }
-  if (aProgress.mLeft <= kLeastUsefulTime) {
+  if (aProgress.mLeft <= kMinUsefulTime) {
     return "no time is left for another attempt";
   }
   if (!aProgress.mHasTarget) {
@@ -34,15 +34,15 @@
 FailureStep
 AfterFailure(const RequestProgress& aProgress)
 {
-  if (WhyNotAgain(aProgress).empty()) {
+  if (RetryDenialReason(aProgress).empty()) {
     return FailureStep::kSendAgain;
   }
   RequestProgress later = aProgress;
   later.mHasTarget = true;
   later.mHasBudget = true;
-  // What has not run is refused instead, and told when to come back.
-  const bool waits = aProgress.mMayHaveRun && aProgress.mPatience > Duration::zero();
-  if (waits && WhyNotAgain(later).empty()) {
+  // A request that has not run is refused instead, with a time to retry after.
+  const bool waits = aProgress.mMayHaveRun && aProgress.mCallerWait > Duration::zero();
+  if (waits && RetryDenialReason(later).empty()) {
     return FailureStep::kWait;
   }
   if (aProgress.mAnswerBegun) {
--- a/src/pepperbay/dispatch/failure_step_test.cpp
+++ b/src/pepperbay/dispatch/failure_step_test.cpp
@@ -14,11 +14,11 @@
   progress.mMayHaveRun = *rc::gen::arbitrary<bool>();
   progress.mAnswerBegun = *rc::gen::arbitrary<bool>();
   progress.mSent = *rc::gen::inRange(0, 4);
-  progress.mMostSent = *rc::gen::inRange(1, 4);
+  progress.mMaxSent = *rc::gen::inRange(1, 4);
   progress.mLeft = std::chrono::milliseconds(*rc::gen::inRange(-100, 8000));
   progress.mHasTarget = *rc::gen::arbitrary<bool>();
   progress.mHasBudget = *rc::gen::arbitrary<bool>();
-  progress.mPatience = std::chrono::milliseconds(*rc::gen::inRange(-100, 200));
+  progress.mCallerWait = std::chrono::milliseconds(*rc::gen::inRange(-100, 200));
   return progress;
 }
 
@@ -27,7 +27,7 @@
   const RequestProgress progress = AnyProgress();
   if (AfterFailure(progress) == FailureStep::kSendAgain) {
     RC_ASSERT(progress.mRepeatable || !progress.mMayHaveRun);
-    RC_ASSERT(progress.mSent < progress.mMostSent);
+    RC_ASSERT(progress.mSent < progress.mMaxSent);
     RC_ASSERT(progress.mHasBudget && progress.mHasTarget);
     RC_ASSERT(progress.mLeft > Duration::zero());
   }
@@ -36,17 +36,18 @@
 RC_GTEST_PROP(FailureStep, ARequestThatIsNotSentAgainHasAReason, ())
 {
   const RequestProgress progress = AnyProgress();
-  RC_ASSERT(WhyNotAgain(progress).empty() == (AfterFailure(progress) == FailureStep::kSendAgain));
+  RC_ASSERT(RetryDenialReason(progress).empty() ==
+            (AfterFailure(progress) == FailureStep::kSendAgain));
 }
 
-/// Guards against callers who are held without hope, or longer than they stay.
+/// Guards against keeping callers waiting when no attempt can follow, or longer than they wait.
 RC_GTEST_PROP(FailureStep, OnlyWhatMayBeSentAgainLaterWaits, ())
 {
   const RequestProgress progress = AnyProgress();
   if (AfterFailure(progress) == FailureStep::kWait) {
-    RC_ASSERT(progress.mPatience > Duration::zero());
+    RC_ASSERT(progress.mCallerWait > Duration::zero());
     RC_ASSERT(progress.mRepeatable && progress.mMayHaveRun);
-    RC_ASSERT(progress.mSent < progress.mMostSent);
+    RC_ASSERT(progress.mSent < progress.mMaxSent);
     RC_ASSERT(!progress.mHasBudget || !progress.mHasTarget);
   }
 }
@@ -67,14 +68,14 @@
   progress.mRepeatable = true;
   progress.mMayHaveRun = true;
   progress.mSent = 1;
-  progress.mMostSent = 2;
+  progress.mMaxSent = 2;
   progress.mLeft = std::chrono::seconds(1);
   progress.mHasTarget = true;
   progress.mHasBudget = true;
   EXPECT_EQ(AfterFailure(progress), FailureStep::kSendAgain);
   progress.mHasBudget = false;
   EXPECT_EQ(AfterFailure(progress), FailureStep::kFail);
-  progress.mPatience = std::chrono::seconds(1);
+  progress.mCallerWait = std::chrono::seconds(1);
   EXPECT_EQ(AfterFailure(progress), FailureStep::kWait);
   progress.mMayHaveRun = false;
   EXPECT_EQ(AfterFailure(progress), FailureStep::kRefuse);
--- a/src/pepperbay/places/slot_agent.cpp
+++ b/src/pepperbay/places/slot_agent.cpp
@@ -128,13 +128,13 @@
   return message;
 }
 
-const DeskAddress*
+const AllocatorAddress*
 SlotAgent::UsableAllocator() const
 {
-  if (!mPlan || mPlan->mIsDesk || !mHooks.mSend) {
+  if (!mPlan || mPlan->mIsAllocator || !mHooks.mSend) {
     return nullptr;
   }
-  for (const auto& it : mPlan->mDesks) {
+  for (const auto& it : mPlan->mAllocators) {
     const auto skippedUntil = mSkippedUntil.find(it.mNode);
     const bool skipped = skippedUntil != mSkippedUntil.end() && Now() < skippedUntil->second;
     if (!skipped && !it.mAddress.empty()) {
@@ -156,7 +156,7 @@
 void
 SlotAgent::AskAllocator(std::uint64_t aId, Pending aPending)
 {
-  const DeskAddress* allocator =
+  const AllocatorAddress* allocator =
     aPending.mAllocatorsAsked < kMaxAllocators ? UsableAllocator() : nullptr;
   if (allocator == nullptr) {
     aPending.mDone(
@@ -240,7 +240,7 @@
 SlotResult
 SlotAgent::ChooseLocally(const SlotRequest& aRequest, Chooser aChooser, bool aCounted)
 {
-  mCounters.mWithoutAllocator += mPlan && !mPlan->mIsDesk && aChooser == Chooser::kLocal ? 1 : 0;
+  mCounters.mWithoutAllocator += mPlan && !mPlan->mIsAllocator && aChooser == Chooser::kLocal ? 1 : 0;
   const std::string work = WorkOf(aRequest.mService, aRequest.mModel);
   Query query;
   query.mService = aRequest.mService;
@@ -347,7 +347,7 @@
   }
   const auto outcome = OutcomeOf(answer.outcome());
   for (const auto it : answer.failing()) {
-    mBalancer->Failures().OnTold(it, Now());
+    mBalancer->Failures().OnAllocatorReport(it, Now());
   }
   SlotTicket ticket;
   if (outcome == SlotOutcome::kGranted) {
--- a/src/pepperbay/places/slot_agent_test.cpp
+++ b/src/pepperbay/places/slot_agent_test.cpp
@@ -312,8 +312,8 @@
   newer.mRoutes = simulation.mRoutes;
   newer.mReplicas["pool"] = simulation.mReplicas;
   newer.mReplicas["pool"][0].mLost = true;
-  newer.mIsDesk = false;
-  newer.mDesks = { { "desk", "desk" } };
+  newer.mIsAllocator = false;
+  newer.mAllocators = { { "desk", "desk" } };
   node.mAgent->SetPlan(std::make_shared<TrafficPlan>(newer));
   for (int i = 0; i < 6; ++i) {
     EXPECT_EQ(simulation.Ask(node).mHead.mId, "e1");
--- a/src/pepperbay/places/slot_allocator.cpp
+++ b/src/pepperbay/places/slot_allocator.cpp
@@ -97,7 +97,7 @@
   }
   const bool here =
     passedOn || choice.mHead == nullptr || mLedger.Counts(choice.mHead->mDataCentre, Now());
-  const DeskAddress* allocator = here ? nullptr : AllocatorOf(choice.mHead->mDataCentre);
+  const AllocatorAddress* allocator = here ? nullptr : AllocatorOf(choice.mHead->mDataCentre);
   if (allocator != nullptr) {
     Forward(ask, asker, *allocator);
     return;
@@ -118,7 +118,7 @@
                         proto::PlaceAnswer* aAnswer)
 {
   for (const auto it : aAsk.refusing()) {
-    mBalancer->Refusals().OnTold(it, Now());
+    mBalancer->Refusals().OnPeerReport(it, Now());
   }
   for (const auto it : aAsk.failing()) {
     mBalancer->Failures().OnReport(aAsker.mNode, it, Now());
@@ -154,17 +154,17 @@
   FillLimit(head, aAnswer);
 }
 
-const DeskAddress*
+const AllocatorAddress*
 SlotAgent::AllocatorOf(const std::string& aDataCentre) const
 {
-  const auto it = mPlan->mDesksOf.find(aDataCentre);
+  const auto it = mPlan->mAllocatorsOf.find(aDataCentre);
   const bool reachable =
-    mHooks.mSend && it != mPlan->mDesksOf.end() && !it->second.mAddress.empty();
+    mHooks.mSend && it != mPlan->mAllocatorsOf.end() && !it->second.mAddress.empty();
   return reachable ? &it->second : nullptr;
 }
 
 void
-SlotAgent::Forward(const proto::PlaceAsk& aAsk, const Asker& aAsker, const DeskAddress& aAllocator)
+SlotAgent::Forward(const proto::PlaceAsk& aAsk, const Asker& aAsker, const AllocatorAddress& aAllocator)
 {
   proto::PlaceMessage message = NewMessage();
   *message.mutable_ask() = aAsk;
--- a/src/pepperbay/places/slot_limits.cpp
+++ b/src/pepperbay/places/slot_limits.cpp
@@ -178,8 +178,8 @@
   if (change == LimitChange::kNone || !mPlan) {
     return change;
   }
-  const DeskAddress* allocator =
-    mPlan->mIsDesk ? AllocatorOf(aEngine.mDataCentre) : UsableAllocator();
+  const AllocatorAddress* allocator =
+    mPlan->mIsAllocator ? AllocatorOf(aEngine.mDataCentre) : UsableAllocator();
   if (allocator != nullptr) {
     SendLimit(allocator->mAddress, aEngine, aGrant, aStatement);
   }
@@ -220,7 +220,7 @@
   }
   const LimitChange change = mBalancer->Limits().OnStatement(note.limit().engine(), statement);
   NoteChange(note.limit().engine(), change, statement, aMessage.node());
-  const DeskAddress* allocator =
+  const AllocatorAddress* allocator =
     note.passed_on() || !mPlan || mLedger.Counts(note.data_centre(), Now())
       ? nullptr
       : AllocatorOf(note.data_centre());
@@ -247,8 +247,8 @@
     mLedger.Spend(Limited(*engine, *limit), Now());
     return;
   }
-  const DeskAddress* allocator =
-    mPlan->mIsDesk ? AllocatorOf(engine->mDataCentre) : UsableAllocator();
+  const AllocatorAddress* allocator =
+    mPlan->mIsAllocator ? AllocatorOf(engine->mDataCentre) : UsableAllocator();
   if (allocator != nullptr) {
     proto::PlaceMessage message = NewMessage();
     message.mutable_calls()->add_engines(ShortId(aEngine));
@@ -273,7 +273,7 @@
 {
   const proto::PlaceAnswer& answer = aMessage.answer();
   const std::uint32_t id = ShortId(aHead.mId);
-  LimitBook& limits = mBalancer->Limits();
+  EngineLimitTable& limits = mBalancer->Limits();
   if (answer.has_limit() && !answer.limit().has_per_second()) {
     const LimitStatement over = StatementOf(answer.limit(), Now());
     NoteChange(id, limits.OnStatement(id, over), over, aMessage.node());
@@ -325,13 +325,13 @@
 void
 SlotAgent::ApplyLimited(const std::string& aService, const proto::PlaceAnswer& aAnswer)
 {
-  std::vector<ToldLimit> reported;
+  std::vector<IncarnationLimit> reported;
   for (const auto& it : aAnswer.limited()) {
     if (IsUsable(it)) {
       reported.push_back({ it.engine(), BornOf(it.born_ms()), it.per_second() });
     }
   }
-  mBalancer->Limits().SetTold(aService, std::move(reported), Now());
+  mBalancer->Limits().SetReported(aService, std::move(reported), Now());
 }
 
 void
@@ -353,7 +353,7 @@
   }
   mRetainDue = Now() + kRetainEvery;
   std::set<std::uint32_t> listed;
-  for (const auto& [id, born] : mPlan->mStarts) {
+  for (const auto& [id, born] : mPlan->mIncarnations) {
     listed.insert(ShortId(id));
   }
   for (const auto& [service, engines] : mPlan->mEngines) {
--- a/src/pepperbay/places/slot_simulation.hpp
+++ b/src/pepperbay/places/slot_simulation.hpp
@@ -115,15 +115,15 @@
       plan.mNodes = static_cast<int>(mNodes.size());
       const auto& allocators =
         it.mAllocators.empty() ? aAllocators.at(it.mDataCentre) : it.mAllocators;
-      plan.mIsDesk = allocators.front() == it.mName;
+      plan.mIsAllocator = allocators.front() == it.mName;
       for (const auto& allocator : allocators) {
         if (allocator != it.mName) {
-          plan.mDesks.push_back({ allocator, allocator });
+          plan.mAllocators.push_back({ allocator, allocator });
         }
       }
       for (const auto& [centre, others] : aAllocators) {
-        if (plan.mIsDesk && centre != it.mDataCentre) {
-          plan.mDesksOf[centre] = { others.front(), others.front() };
+        if (plan.mIsAllocator && centre != it.mDataCentre) {
+          plan.mAllocatorsOf[centre] = { others.front(), others.front() };
         }
       }
       for (const auto& [centre, counts] : mCounting) {
--- a/src/pepperbay/places/slot_wire.hpp
+++ b/src/pepperbay/places/slot_wire.hpp
@@ -2,7 +2,7 @@
 /// @brief Conversion between fields of slot messages and typed values.
 #pragma once
 
-#include "pepperbay/routing/limit_book.hpp"
+#include "pepperbay/routing/engine_limit_table.hpp"
 
 #include <algorithm>
 #include <pepperbay.pb.h>
--- a/src/pepperbay/relay/exchange.cpp
+++ b/src/pepperbay/relay/exchange.cpp
@@ -152,7 +152,7 @@
   if (!mService->mPool) {
     return;
   }
-  RefusalBook& refusals = mCore->mBalancer.Refusals();
+  RefusalTracker& refusals = mCore->mBalancer.Refusals();
   if (!aMetadata.mNotRun) {
     refusals.OnTaken(engine, aDispatch.mSentAt);
   } else if (refusals.OnRefused(engine, aDispatch.mSentAt, mCore->Now()) &&
--- a/src/pepperbay/relay/exchange.hpp
+++ b/src/pepperbay/relay/exchange.hpp
@@ -4,7 +4,7 @@
 #pragma once
 
 #include "attempt.hpp"
-#include "pepperbay/dispatch/asked_engines.hpp"
+#include "pepperbay/dispatch/attempted_engines.hpp"
 #include "pepperbay/dispatch/failure_step.hpp"
 #include "pepperbay/quarantine/request_key.hpp"
 #include "pepperbay/relay/event_splitter.hpp"
@@ -319,7 +319,7 @@
   std::uint64_t mLastSerial = 0;
   std::set<std::string> mTried;     ///< engines that are no longer candidates
   std::set<std::string> mUnreached; ///< unreachable targets of hedges; used after all others
-  AskedEngines mAsked;
+  AttemptedEngines mAsked;
   std::optional<StaleConnection> mStale; ///< the last one, until the state of its engine is known
   bool mAvoidsPooled = false;  ///< one connection was closed early; pooled ones may be dead as well
   bool mHedgePending = false;  ///< a slot elsewhere is being requested
--- a/src/pepperbay/relay/exchange_ends.cpp
+++ b/src/pepperbay/relay/exchange_ends.cpp
@@ -98,8 +98,8 @@
   // An engine that loses power closes no connection. Without this check the caller would wait until
   // its deadline.
   const AttemptTarget& target = aDispatch.mTarget;
-  const auto start = mCore->mPlan->mStarts.find(target.mEngine);
-  return start != mCore->mPlan->mStarts.end() && target.mBorn != WallTime{} &&
+  const auto start = mCore->mPlan->mIncarnations.find(target.mEngine);
+  return start != mCore->mPlan->mIncarnations.end() && target.mBorn != WallTime{} &&
          start->second > target.mBorn;
 }
 
@@ -138,7 +138,7 @@
   }
   mCurrent.mFailed = true;
   const RequestProgress progress = Progress();
-  LogFailedAttempt(mCurrent, aReason, aMayHaveRun, WhyNotAgain(progress));
+  LogFailedAttempt(mCurrent, aReason, aMayHaveRun, RetryDenialReason(progress));
   DropAttempt();
   AfterAttempt(aReason, progress);
 }
@@ -152,14 +152,14 @@
   progress.mAnswerBegun = mStreamStarted;
   const bool again = StaleEngine() != nullptr || !RepeatableEngines().empty();
   progress.mSent = mAsked.Count() - (again ? 1 : 0);
-  progress.mMostSent = mRoute->mMaxAttempts;
+  progress.mMaxSent = mRoute->mMaxAttempts;
   progress.mLeft = TimeLeft();
   progress.mHasTarget = mConnectFailures < kMaxConnectFailures && HasTarget();
   progress.mHasBudget = mSent == 0 || HasBudget();
-  progress.mHeldBack = IsQuarantined();
+  progress.mQuarantined = IsQuarantined();
   if (mService->mPool && !mFallback) {
     const TimePoint last = mStreamStarted ? mForwardedAt : mArrived;
-    progress.mPatience = last + kUnservedTimeout - mCore->Now();
+    progress.mCallerWait = last + kUnservedTimeout - mCore->Now();
   }
   return progress;
 }
@@ -201,7 +201,7 @@
       return;
     case FailureStep::kWait:
       mPhase = Phase::kAwaitingSlot;
-      CountRefusedMove(WhyNotAgain(aProgress));
+      CountRefusedMove(RetryDenialReason(aProgress));
       mPendingRetry = PendingRetry{ aReason, mCore->Now() + kSlotRetryDelay };
       return;
     case FailureStep::kRefuse:
--- a/src/pepperbay/relay/exchange_sending.cpp
+++ b/src/pepperbay/relay/exchange_sending.cpp
@@ -190,11 +190,11 @@
   if (!mService->mPool || !mRoute->Repeatable()) {
     return {};
   }
-  const auto formedAnew = [this](const std::string& aEngine, const AskedReplica& aAsked) {
+  const auto formedAnew = [this](const std::string& aEngine, const AttemptedReplica& aAsked) {
     const PoolReplica* replica = ReplicaInPlan(aAsked.mGroup);
     return replica != nullptr && replica->mHead.mId == aEngine && replica->mEpoch > aAsked.mEpoch;
   };
-  std::set<std::string> engines = mAsked.OnceMore(formedAnew);
+  std::set<std::string> engines = mAsked.Retryable(formedAnew);
   if (mCurrent.mAttempt && !mCurrent.mFailed) {
     engines.erase(mCurrent.mTarget.mEngine);
   }
--- a/src/pepperbay/relay/relay_core.cpp
+++ b/src/pepperbay/relay/relay_core.cpp
@@ -111,7 +111,7 @@
 RelayCore::SetPlan(std::shared_ptr<const TrafficPlan> aPlan)
 {
   if (mPlan) {
-    ForgetStaleIncarnations(mPlan->mStarts, aPlan->mStarts);
+    ForgetStaleIncarnations(mPlan->mIncarnations, aPlan->mIncarnations);
   }
   NoteConfiguration(*aPlan);
   const bool suspects = aPlan->mSuspects && (!mPlan || aPlan->mSuspects != mPlan->mSuspects);
@@ -125,7 +125,7 @@
     mConnections.ForgetByPeer(
       [this](const std::string& aPeer) { return !aPeer.empty() && !mConnector.IsPeer(aPeer); });
   }
-  const RetryKeeperPlan& keeper = mPlan->mRetryKeeper;
+  const RetryBudgetOwnerPlan& keeper = mPlan->mRetryBudgetOwner;
   const RetryBudgetLease right =
     keeper.mOwn ? RetryBudgetLease{ keeper.mOwn->mSince, keeper.mOwn->mUntil } : RetryBudgetLease{};
   mRetries.SetFleet({ keeper.mAddress, right, mPlan->mListedNodes });
@@ -150,7 +150,7 @@
 }
 
 void
-RelayCore::ForgetStaleIncarnations(const EngineStarts& aBefore, const EngineStarts& aNow)
+RelayCore::ForgetStaleIncarnations(const EngineIncarnations& aBefore, const EngineIncarnations& aNow)
 {
   for (const auto& [engine, born] : aNow) {
     const auto known = aBefore.find(engine);
--- a/src/pepperbay/relay/relay_core.hpp
+++ b/src/pepperbay/relay/relay_core.hpp
@@ -30,7 +30,7 @@
   void NoteConfiguration(const TrafficPlan& aPlan);
   /// Discards what was learnt about engines that have restarted or are no longer listed: it does
   /// not hold for the new process.
-  void ForgetStaleIncarnations(const EngineStarts& aBefore, const EngineStarts& aNow);
+  void ForgetStaleIncarnations(const EngineIncarnations& aBefore, const EngineIncarnations& aNow);
   /// @return the suspicion against a request; a score of 0 means none.
   SuspectRequest SuspectOf(const RequestKey& aKey) const;
   /// An engine completed a request, so the request did not cause any engine to exit.
@@ -75,7 +75,7 @@
   Balancer mBalancer;
   SlotAgent mPlaces;
   StallDetector mStalls;
-  RefusalBook mUnreachableHeads; ///< heads that no longer listen and were reported
+  RefusalTracker mUnreachableHeads; ///< heads that no longer listen and were reported
   RetryAgent mRetries; ///< retry budget of plain services; slots are requested through mPlaces
   ConnectionPool mConnections;
   EngineConnector mConnector;
--- a/src/pepperbay/routing/balancer.cpp
+++ b/src/pepperbay/routing/balancer.cpp
@@ -128,7 +128,7 @@
 void
 Balancer::OnPause(const std::string& aHead, Duration aPause, TimePoint aNow)
 {
-  constexpr int kWeight = 16; // of the past: about half a second of a busy replica
+  constexpr int kWeight = 16; // samples in the running mean: about 0.5 s of a busy replica
   Pace& pace = mPaces[aHead];
   if (aNow - pace.mLast > mOptions.mPaceMemory) {
     pace = Pace{};
@@ -142,9 +142,9 @@
 Duration
 Balancer::PauseOf(const std::string& aHead, TimePoint aNow) const
 {
-  constexpr int kLeastSamples = 8;
+  constexpr int kMinSamples = 8;
   const auto it = mPaces.find(aHead);
-  const bool known = it != mPaces.end() && it->second.mSamples >= kLeastSamples &&
+  const bool known = it != mPaces.end() && it->second.mSamples >= kMinSamples &&
                      aNow - it->second.mLast <= mOptions.mPaceMemory;
   return known ? it->second.mPause : Duration::zero();
 }
@@ -159,7 +159,7 @@
 {
   const std::string& head = aReplica.mHead.mId;
   const int inFlight = InFlight(aPlan, head);
-  Duration cost = mOptions.mCrowdCost * inFlight;
+  Duration cost = mOptions.mInFlightCost * inFlight;
   cost += mOptions.mQueueCost * std::max(0, inFlight + 1 - aSlots);
   const auto reads = mReadsUntil.find(head);
   if (reads != mReadsUntil.end()) {
@@ -213,12 +213,14 @@
       fastest = std::min(fastest, pause);
     }
   }
-  // Where nothing is known nothing is slow.
+  // Without measurements no replica counts as slow.
   return fastest == Duration::max() ? Duration::zero() : fastest;
 }
 
 int
-Balancer::MostAt(const EnginePool& aPool, const std::string& aModel, Duration aObjective) const
+Balancer::MaxRequestsAt(const EnginePool& aPool,
+                        const std::string& aModel,
+                        Duration aObjective) const
 {
   const int share = static_cast<int>(aPool.mSlots * (1.0 + mOptions.mQueueShare));
   const ModelSpec* model = aPool.FindModel(aModel);
@@ -230,7 +232,7 @@
   if (answer <= Duration::zero()) {
     return share;
   }
-  // Slots come free one after the other, a usual answer's time apart over all of them.
+  // Each slot comes free once per usual answer time; the slots come free evenly spread over it.
   const double wait = std::chrono::duration<double>(aObjective).count() * mOptions.mWaitShare;
   const double places = wait * aPool.mSlots / std::chrono::duration<double>(answer).count();
   return std::min(share, aPool.mSlots + static_cast<int>(places));
@@ -248,7 +250,7 @@
     return choice;
   }
   const int slots = aService.mPool->mSlots;
-  const int most = MostAt(*aService.mPool, aQuery.mModel, aQuery.mObjective);
+  const int maxRequests = MaxRequestsAt(*aService.mPool, aQuery.mModel, aQuery.mObjective);
   const Duration fastest = FastestPause(replicas->second, aQuery.mModel, aNow);
   std::tuple<bool, bool, Duration, std::uint64_t> bestRank;
   for (const auto& it : replicas->second) {
@@ -257,7 +259,7 @@
     if (it.mModel != aQuery.mModel || it.mSuspended || it.mLost || aQuery.mTried.count(id) != 0) {
       continue;
     }
-    if (InFlight(aPlan, head) >= most || mRefusals.Refuses(id, aNow)) {
+    if (InFlight(aPlan, head) >= maxRequests || mRefusals.Refuses(id, aNow)) {
       choice.mFull = true;
       continue;
     }
--- a/src/pepperbay/routing/limit_book.cpp
+++ b/src/pepperbay/routing/engine_limit_table.cpp
@@ -1,4 +1,4 @@
-#include "pepperbay/routing/limit_book.hpp"
+#include "pepperbay/routing/engine_limit_table.hpp"
 
 #include <algorithm>
 #include <utility>
@@ -6,24 +6,24 @@
 namespace pepperbay {
 namespace {
 
-/// From an engine's answer until the node that counts its requests knows of it.
-constexpr std::chrono::milliseconds kTellingTakes{ 500 };
+/// Delay from an engine's answer until the node that counts its requests has been notified.
+constexpr std::chrono::milliseconds kNotificationDelay{ 500 };
 
-/// @return whether a statement allows fewer requests than another.
+/// @return whether a statement allows fewer requests than the other.
 bool
 IsLower(const LimitStatement& aStatement, const LimitStatement& aThan)
 {
   return aStatement.mPerSecond && (!aThan.mPerSecond || *aStatement.mPerSecond < *aThan.mPerSecond);
 }
 
-/// In doubt about the order of two statements the lower limit counts.
+/// If the order of two statements is uncertain, the lower limit counts.
 bool
 IsNewer(const LimitStatement& aStatement, const LimitStatement& aThan)
 {
   if (IsLower(aStatement, aThan)) {
-    return aStatement.mLeft + LimitBook::kOrderSlack > aThan.mLeft;
+    return aStatement.mLeft + EngineLimitTable::kOrderSlack > aThan.mLeft;
   }
-  return aStatement.mLeft > aThan.mLeft + LimitBook::kOrderSlack &&
+  return aStatement.mLeft > aThan.mLeft + EngineLimitTable::kOrderSlack &&
          aStatement.mAnswered > aThan.mAnswered;
 }
 
@@ -57,16 +57,16 @@
 bool
 IsLimit(double aPerSecond)
 {
-  return aPerSecond >= 0 && aPerSecond <= kMostLimit; // no number is neither
+  return aPerSecond >= 0 && aPerSecond <= kMaxLimit; // NaN fails both comparisons
 }
 
 LimitChange
-LimitBook::OnStatement(std::uint32_t aEngine, const LimitStatement& aStatement)
+EngineLimitTable::OnStatement(std::uint32_t aEngine, const LimitStatement& aStatement)
 {
   const auto it = mEntries.find(aEngine);
   if (it == mEntries.end()) {
     if (!aStatement.mPerSecond) {
-      return LimitChange::kNone; // engines without a limit cost no memory
+      return LimitChange::kNone; // engines without a limit use no memory
     }
     mEntries[aEngine] = aStatement;
     return LimitChange::kLearned;
@@ -87,17 +87,19 @@
 }
 
 void
-LimitBook::SetTold(const std::string& aService, std::vector<ToldLimit> aLimits, TimePoint aNow)
+EngineLimitTable::SetReported(const std::string& aService,
+                              std::vector<IncarnationLimit> aLimits,
+                              TimePoint aNow)
 {
   if (aLimits.empty()) {
-    mTold.erase(aService);
+    mReportedLimits.erase(aService);
   } else {
-    mTold[aService] = { std::move(aLimits), aNow };
+    mReportedLimits[aService] = { std::move(aLimits), aNow };
   }
 }
 
 void
-LimitBook::Retain(const std::set<std::uint32_t>& aEngines)
+EngineLimitTable::Retain(const std::set<std::uint32_t>& aEngines)
 {
   for (auto it = mEntries.begin(); it != mEntries.end();) {
     it = aEngines.count(it->first) == 0 ? mEntries.erase(it) : std::next(it);
@@ -105,33 +107,33 @@
 }
 
 const LimitStatement*
-LimitBook::Find(std::uint32_t aEngine, WallTime aBorn) const
+EngineLimitTable::Find(std::uint32_t aEngine, WallTime aBorn) const
 {
   const auto it = mEntries.find(aEngine);
   return it != mEntries.end() && it->second.mBorn == aBorn ? &it->second : nullptr;
 }
 
 std::optional<double>
-LimitBook::LimitOf(std::uint32_t aEngine, WallTime aBorn) const
+EngineLimitTable::LimitOf(std::uint32_t aEngine, WallTime aBorn) const
 {
   const LimitStatement* known = Find(aEngine, aBorn);
   return known != nullptr ? known->mPerSecond : std::nullopt;
 }
 
 std::optional<double>
-LimitBook::AnyLimitOf(std::uint32_t aEngine, WallTime aBorn, TimePoint aNow) const
+EngineLimitTable::AnyLimitOf(std::uint32_t aEngine, WallTime aBorn, TimePoint aNow) const
 {
   const LimitStatement* known = Find(aEngine, aBorn);
   if (known != nullptr && known->mPerSecond) {
     return known->mPerSecond;
   }
-  for (const auto& [service, told] : mTold) {
-    // Whoever told it may not have heard yet of what the engine has said here since.
-    const bool older = known != nullptr && told.mAt < known->mAnswered + kTellingTakes;
-    if (older || aNow - told.mAt >= kToldFor) {
+  for (const auto& [service, reported] : mReportedLimits) {
+    // The reporting node may not know yet what the engine has stated to this node since.
+    const bool older = known != nullptr && reported.mAt < known->mAnswered + kNotificationDelay;
+    if (older || aNow - reported.mAt >= kReportLifetime) {
       continue;
     }
-    for (const auto& it : told.mLimits) {
+    for (const auto& it : reported.mLimits) {
       if (it.mEngine == aEngine && it.mBorn == aBorn) {
         return it.mPerSecond;
       }
@@ -140,10 +142,10 @@
   return std::nullopt;
 }
 
-std::vector<ToldLimit>
-LimitBook::Limits() const
+std::vector<IncarnationLimit>
+EngineLimitTable::Limits() const
 {
-  std::vector<ToldLimit> limits;
+  std::vector<IncarnationLimit> limits;
   for (const auto& [engine, statement] : mEntries) {
     if (statement.mPerSecond) {
       limits.push_back({ engine, statement.mBorn, *statement.mPerSecond });
@@ -153,7 +155,7 @@
 }
 
 std::size_t
-LimitBook::Limited() const
+EngineLimitTable::Limited() const
 {
   return static_cast<std::size_t>(
     std::count_if(mEntries.begin(), mEntries.end(), [](const auto& aEntry) {
--- a/src/pepperbay/routing/failure_book.cpp
+++ b/src/pepperbay/routing/failure_tracker.cpp
@@ -1,4 +1,4 @@
-#include "pepperbay/routing/failure_book.hpp"
+#include "pepperbay/routing/failure_tracker.hpp"
 
 #include "pepperbay/base/hash.hpp"
 
@@ -6,13 +6,13 @@
 
 namespace pepperbay {
 
-FailureBook::FailureBook(FailureOptions aOptions)
+FailureTracker::FailureTracker(FailureOptions aOptions)
   : mOptions(aOptions)
 {
 }
 
-FailureBook::Engine&
-FailureBook::Entry(std::uint32_t aEngine, TimePoint aNow)
+FailureTracker::Engine&
+FailureTracker::Entry(std::uint32_t aEngine, TimePoint aNow)
 {
   for (auto it = mEngines.begin(); it != mEngines.end();) {
     auto& reports = it->second.mReports;
@@ -20,44 +20,45 @@
       report = report->second <= aNow ? reports.erase(report) : std::next(report);
     }
     const bool over =
-      reports.empty() && it->second.mOwnUntil <= aNow && it->second.mToldUntil <= aNow;
+      reports.empty() && it->second.mOwnUntil <= aNow && it->second.mReportedUntil <= aNow;
     it = over && it->first != aEngine ? mEngines.erase(it) : std::next(it);
   }
   return mEngines[aEngine];
 }
 
 void
-FailureBook::OnFailed(const std::string& aEngine, TimePoint aNow)
+FailureTracker::OnFailed(const std::string& aEngine, TimePoint aNow)
 {
   Entry(ShortId(aEngine), aNow).mOwnUntil = aNow + mOptions.mMemory;
 }
 
 void
-FailureBook::OnReport(const std::string& aNode, std::uint32_t aEngine, TimePoint aNow)
+FailureTracker::OnReport(const std::string& aNode, std::uint32_t aEngine, TimePoint aNow)
 {
-  // A node repeats its word with each question until its own memory ends; the first time counts.
+  // A node repeats a report with each slot request until its own memory of it ends; only the first
+  // sets the expiry.
   Entry(aEngine, aNow).mReports.try_emplace(aNode, aNow + mOptions.mMemory);
 }
 
 void
-FailureBook::OnTold(std::uint32_t aEngine, TimePoint aNow)
+FailureTracker::OnAllocatorReport(std::uint32_t aEngine, TimePoint aNow)
 {
-  Entry(aEngine, aNow).mToldUntil = aNow + mOptions.mMemory / 2;
+  Entry(aEngine, aNow).mReportedUntil = aNow + mOptions.mMemory / 2;
 }
 
 bool
-FailureBook::IsAgreed(const Engine& aEngine, TimePoint aNow) const
+FailureTracker::IsAgreed(const Engine& aEngine, TimePoint aNow) const
 {
   const auto reporters =
     std::count_if(aEngine.mReports.begin(), aEngine.mReports.end(), [aNow](const auto& aReport) {
       return aReport.second > aNow;
     });
   const std::size_t own = aEngine.mOwnUntil > aNow ? 1 : 0;
-  return static_cast<std::size_t>(reporters) + own >= mOptions.mLeastReporters;
+  return static_cast<std::size_t>(reporters) + own >= mOptions.mMinReporters;
 }
 
 std::vector<std::uint32_t>
-FailureBook::Own(TimePoint aNow) const
+FailureTracker::Own(TimePoint aNow) const
 {
   std::vector<std::uint32_t> own;
   for (const auto& [id, engine] : mEngines) {
@@ -69,7 +70,7 @@
 }
 
 std::vector<std::uint32_t>
-FailureBook::Agreed(TimePoint aNow) const
+FailureTracker::Agreed(TimePoint aNow) const
 {
   std::vector<std::uint32_t> agreed;
   for (const auto& [id, engine] : mEngines) {
@@ -81,10 +82,10 @@
 }
 
 bool
-FailureBook::Fails(std::uint32_t aEngine, TimePoint aNow) const
+FailureTracker::Fails(std::uint32_t aEngine, TimePoint aNow) const
 {
   const auto it = mEngines.find(aEngine);
-  return it != mEngines.end() && (it->second.mOwnUntil > aNow || it->second.mToldUntil > aNow ||
+  return it != mEngines.end() && (it->second.mOwnUntil > aNow || it->second.mReportedUntil > aNow ||
                                   IsAgreed(it->second, aNow));
 }
 
--- a/src/pepperbay/routing/router.cpp
+++ b/src/pepperbay/routing/router.cpp
@@ -9,15 +9,16 @@
 
 constexpr int kTries = 8;
 constexpr int kPointsPerReplica = 8;
-/// Targets looked at in one decision, however large the subset is set.
-constexpr std::size_t kMostConsidered = 64;
-/// How likely the owners of a prefix on the ring hold it, first and second.
+/// Maximum number of targets examined in one decision, whatever the size of the subset.
+constexpr std::size_t kMaxConsidered = 64;
+/// Probability that the first and second owner of a prefix on the ring have it cached.
 constexpr double kOwnerCached[] = { 0.9, 0.5 };
 
 constexpr double kReportSmoothing = 0.2;
 
-/// If each node keeps its own requests even over the replicas, their sum is even; so this node's
-/// own part, scaled up, is the better guess of this moment, and the others' mean only corrects it.
+/// If each node spreads its requests evenly over the replicas, the sum is even too. So this node's
+/// own load, scaled up, is the better estimate of the current load, and the others' mean load only
+/// corrects it.
 double
 LoadPerSlot(const ReplicaTarget& aTarget, const RouteOptions& aOptions)
 {
@@ -28,7 +29,7 @@
   return load / std::max(1, aTarget.mSlots);
 }
 
-/// Gathers candidates and keeps the best.
+/// Scores candidates and keeps the best.
 class Choice
 {
 public:
@@ -45,7 +46,7 @@
     if (!usable || &aTarget == mBest) {
       return;
     }
-    // A straggler is used only when there is nothing else.
+    // A straggler is used only if there is no other target.
     constexpr double kEjectedPenalty = 1e6;
     const double score =
       Score(aTarget, aCached, mOptions, mNow) + (aTarget.mEjected ? kEjectedPenalty : 0.0);
@@ -65,7 +66,7 @@
   double mScore = 0;
 };
 
-/// The two replicas that a prefix belongs to.
+/// The two replicas that own a prefix on the ring.
 void
 ConsiderOwners(const Pool& aPool, std::uint64_t aPrefix, Choice* aChoice)
 {
@@ -91,16 +92,16 @@
   }
 }
 
-/// Some targets from a random place on; equals are so taken in turn.
+/// Some consecutive targets from a random index, so that equal ones are chosen equally often.
 void
 ConsiderRange(const Pool& aPool,
               std::size_t aCount,
-              std::size_t aMost,
+              std::size_t aMax,
               std::uint64_t aRandom,
               Choice* aChoice)
 {
   const std::size_t start = aRandom % aCount;
-  for (std::size_t i = 0; i < std::min(aCount, aMost); ++i) {
+  for (std::size_t i = 0; i < std::min(aCount, aMax); ++i) {
     aChoice->Consider(aPool.mTargets[(start + i) % aCount], 0.0);
   }
 }
@@ -141,10 +142,10 @@
   if (age < aOptions.mSlowStart) {
     const double left = 1.0 - std::chrono::duration<double>(age) / aOptions.mSlowStart;
     load = (load + 1.0 / std::max(1, aTarget.mSlots)) *
-           (1.0 + (aOptions.mWarmest - 1.0) * std::clamp(left, 0.0, 1.0));
+           (1.0 + (aOptions.mSlowStartFactor - 1.0) * std::clamp(left, 0.0, 1.0));
   }
-  // In a full pool a request that goes after its prefix waits there while another replica has a
-  // free slot, and the wait costs more than the prefill it saves.
+  // In a full pool a request sent to the owner of its prefix waits there while another replica has
+  // a free slot, and the wait costs more than the prefill that it saves.
   const double ease = std::clamp((1.0 - aOptions.mFullness) / aOptions.mPrefixEase, 0.0, 1.0);
   const double crowded = std::max(0.0, load - aOptions.mComfort) * aOptions.mCrowded;
   return aTarget.mSlowness * (load + crowded + 1.0 - aOptions.mPrefixWorth * ease * aCached);
@@ -179,11 +180,11 @@
   }
   const Pool& pool = it->second;
   const std::size_t subset = std::clamp<std::size_t>(pool.mSubset, 1, pool.mTargets.size());
-  // A target may close between choice and entry; another choice is then made.
+  // A target may be closed between the choice and Enter(); another one is chosen then.
   for (int i = 0; i < kTries; ++i) {
     Choice choice(aQuery, aOptions, aNow);
     ConsiderOwners(pool, aQuery.mPrefix, &choice);
-    ConsiderRange(pool, subset, kMostConsidered, aRandom(), &choice);
+    ConsiderRange(pool, subset, kMaxConsidered, aRandom(), &choice);
     const ReplicaTarget* target = choice.Best();
     const bool full =
       target == nullptr || target->mEjected || LoadPerSlot(*target, aOptions) >= aOptions.mSpillAt;
@@ -207,7 +208,7 @@
 }
 
 void
-EjectStragglers(Pool* aPool, const FirstTokenTimes& aTimes, double aFactor, double aMostShare)
+EjectStragglers(Pool* aPool, const FirstTokenTimes& aTimes, double aFactor, double aMaxShare)
 {
   std::vector<Duration> sorted;
   for (const auto& it : aPool->mTargets) {
@@ -217,7 +218,7 @@
     }
   }
   if (sorted.size() < 3) {
-    return; // too few to tell which one is odd
+    return; // too few to identify an outlier
   }
   std::sort(sorted.begin(), sorted.end());
   const Duration median = std::max(sorted[sorted.size() / 2], Duration(1));
@@ -235,9 +236,9 @@
   std::sort(slow.begin(), slow.end(), [](const ReplicaTarget* aLeft, const ReplicaTarget* aRight) {
     return aLeft->mSlowness > aRight->mSlowness;
   });
-  const auto most =
-    static_cast<std::size_t>(aMostShare * static_cast<double>(aPool->mTargets.size()));
-  for (std::size_t i = 0; i < slow.size() && i < most; ++i) {
+  const auto maxEjected =
+    static_cast<std::size_t>(aMaxShare * static_cast<double>(aPool->mTargets.size()));
+  for (std::size_t i = 0; i < slow.size() && i < maxEjected; ++i) {
     slow[i]->mEjected = true;
   }
 }
