--- a/include/pepperbay/places/rate_ledger.hpp
+++ b/include/pepperbay/places/rate_ledger.hpp
@@ -3,8 +3,8 @@
 /// Pure: no I/O and no clock of its own.
 #pragma once
 
-#include "pepperbay/admission/token_bucket.hpp"
 #include "pepperbay/admission/fairness_tracker.hpp"
+#include "pepperbay/admission/token_bucket.hpp"
 #include "pepperbay/routing/traffic_plan.hpp"
 
 #include <cstdint>
--- a/src/pepperbay/coordinator/coordinator_pools.cpp
+++ b/src/pepperbay/coordinator/coordinator_pools.cpp
@@ -61,8 +61,12 @@
   view.mFence = mLease.Fence();
   view.mMaxOrders = mCalls.RoomForOrders();
   view.mTraffic = mTraffic;
-  view.mIsUnreachable = [this](const std::string& aEngine) { return mEngineSuspicions.IsLost(aEngine); };
-  view.mHasExited = [this](const std::string& aEngine) { return mEngineSuspicions.HasExited(aEngine); };
+  view.mIsUnreachable = [this](const std::string& aEngine) {
+    return mEngineSuspicions.IsLost(aEngine);
+  };
+  view.mHasExited = [this](const std::string& aEngine) {
+    return mEngineSuspicions.HasExited(aEngine);
+  };
   // Computed on demand: most rounds need it for no head, some for every head of the pool.
   std::optional<std::unordered_map<std::string, int>> others;
   view.mInFlight = [this, &others](const std::string& aHead) {
--- a/src/pepperbay/edge/edge_metrics.cpp
+++ b/src/pepperbay/edge/edge_metrics.cpp
@@ -136,7 +136,8 @@
     Counter(
       "store_restored_total", "Logs that came back from an older copy", control.mStoreRestored),
     Counter("bad_suspect_records_total", "Not understood", control.mBadSuspects),
-    Gauge("held_requests", "Of these, held back", static_cast<double>(control.mQuarantinedRequests)),
+    Gauge(
+      "held_requests", "Of these, held back", static_cast<double>(control.mQuarantinedRequests)),
     Gauge("limited_engines",
           "Engines that name a limit, as this node has been told",
           static_cast<double>(relay.mLimitedEngines)),
@@ -150,7 +151,8 @@
     Gauge("kept_answer_bytes", "Kept until whole", static_cast<double>(relay.mBufferedBytes)),
     Counter("place_questions_total", "Questions to other nodes' desks", aFigures.mPlaces.mAsked),
     Counter("place_questions_resent_total", "Of these, sent again", aFigures.mPlaces.mResent),
-    Counter("place_questions_given_up_total", "Desks without an answer", aFigures.mPlaces.mTimedOut),
+    Counter(
+      "place_questions_given_up_total", "Desks without an answer", aFigures.mPlaces.mTimedOut),
     Counter("places_chosen_alone_total", "Without a desk", aFigures.mPlaces.mWithoutAllocator),
     Counter("places_granted_total", "To other nodes", aFigures.mPlaces.mGranted),
     Counter("places_passed_on_total", "To another data centre's desk", aFigures.mPlaces.mForwarded),
@@ -182,9 +184,11 @@
     Counter("bad_configurations_total", "Not understood", control.mBadConfigurations),
     Counter("bad_registrations_total", "Name no engine", control.mBadRegistrations),
     Counter("engine_restarts_total", "Engines that started again", control.mRestarts),
-    Counter("former_starts_total", "Words of replaced starts, not taken", control.mStaleIncarnations),
+    Counter(
+      "former_starts_total", "Words of replaced starts, not taken", control.mStaleIncarnations),
     Counter("feeds_total", "Records of the store passed on by a delegate", control.mFeeds),
-    Counter("looks_total", "Reads of the store as what others told was too old", control.mDirectReads),
+    Counter(
+      "looks_total", "Reads of the store as what others told was too old", control.mDirectReads),
     Counter("bad_messages_total", "Of peers, not understood", control.mBadMessages),
     Gauge("configuration_version",
           "That requests go by",
--- a/src/pepperbay/places/slot_agent.cpp
+++ b/src/pepperbay/places/slot_agent.cpp
@@ -240,7 +240,8 @@
 SlotResult
 SlotAgent::ChooseLocally(const SlotRequest& aRequest, Chooser aChooser, bool aCounted)
 {
-  mCounters.mWithoutAllocator += mPlan && !mPlan->mIsAllocator && aChooser == Chooser::kLocal ? 1 : 0;
+  mCounters.mWithoutAllocator +=
+    mPlan && !mPlan->mIsAllocator && aChooser == Chooser::kLocal ? 1 : 0;
   const std::string work = WorkOf(aRequest.mService, aRequest.mModel);
   Query query;
   query.mService = aRequest.mService;
--- a/src/pepperbay/places/slot_allocator.cpp
+++ b/src/pepperbay/places/slot_allocator.cpp
@@ -164,7 +164,9 @@
 }
 
 void
-SlotAgent::Forward(const proto::PlaceAsk& aAsk, const Asker& aAsker, const AllocatorAddress& aAllocator)
+SlotAgent::Forward(const proto::PlaceAsk& aAsk,
+                   const Asker& aAsker,
+                   const AllocatorAddress& aAllocator)
 {
   proto::PlaceMessage message = NewMessage();
   *message.mutable_ask() = aAsk;
--- a/src/pepperbay/relay/exchange_hedge.cpp
+++ b/src/pepperbay/relay/exchange_hedge.cpp
@@ -153,26 +153,27 @@
 Exchange::HedgeStream(const std::string& aReason)
 {
   mHedgePending = true;
-  RequestSlot(true,
-              [self = shared_from_this(), serial = mCurrent.mSerial, aReason](const SlotResult& aPlace) {
-                self->mHedgePending = false;
-                if (aPlace.mOutcome != SlotOutcome::kGranted) {
-                  self->CountRefusedMove(ToString(aPlace.mOutcome));
-                  self->mHedgeNotBefore = self->mCore->Now() + kSlotRetryDelay;
-                  return;
-                }
-                if (!self->IsCurrent(serial) || !self->ShouldHedgeStream(self->mCurrent)) {
-                  self->mCore->mPlaces.End(aPlace.mTicket); // no longer needed
-                  return;
-                }
-                if (!self->IsUsable(aPlace)) {
-                  self->mCore->mPlaces.End(aPlace.mTicket);
-                  self->CountRefusedMove(ToString(SlotOutcome::kNoReplica));
-                  self->mHedgeNotBefore = self->mCore->Now() + kSlotRetryDelay;
-                  return;
-                }
-                self->StartHedge(DispatchTo(aPlace), aReason);
-              });
+  RequestSlot(
+    true,
+    [self = shared_from_this(), serial = mCurrent.mSerial, aReason](const SlotResult& aPlace) {
+      self->mHedgePending = false;
+      if (aPlace.mOutcome != SlotOutcome::kGranted) {
+        self->CountRefusedMove(ToString(aPlace.mOutcome));
+        self->mHedgeNotBefore = self->mCore->Now() + kSlotRetryDelay;
+        return;
+      }
+      if (!self->IsCurrent(serial) || !self->ShouldHedgeStream(self->mCurrent)) {
+        self->mCore->mPlaces.End(aPlace.mTicket); // no longer needed
+        return;
+      }
+      if (!self->IsUsable(aPlace)) {
+        self->mCore->mPlaces.End(aPlace.mTicket);
+        self->CountRefusedMove(ToString(SlotOutcome::kNoReplica));
+        self->mHedgeNotBefore = self->mCore->Now() + kSlotRetryDelay;
+        return;
+      }
+      self->StartHedge(DispatchTo(aPlace), aReason);
+    });
 }
 
 void
--- a/src/pepperbay/relay/exchange_log.cpp
+++ b/src/pepperbay/relay/exchange_log.cpp
@@ -79,7 +79,8 @@
     fields["plan_lost"] = YesNo(replica->mLost);
   }
   if (plan.mUpdate.mFence != 0) {
-    fields["news"] = std::to_string(plan.mUpdate.mFence) + "." + std::to_string(plan.mUpdate.mChange);
+    fields["news"] =
+      std::to_string(plan.mUpdate.mFence) + "." + std::to_string(plan.mUpdate.mChange);
     fields["news_age_ms"] = Millis(now - plan.mUpdate.mAsOf);
   }
 }
--- a/src/pepperbay/relay/relay_core.cpp
+++ b/src/pepperbay/relay/relay_core.cpp
@@ -150,7 +150,8 @@
 }
 
 void
-RelayCore::ForgetStaleIncarnations(const EngineIncarnations& aBefore, const EngineIncarnations& aNow)
+RelayCore::ForgetStaleIncarnations(const EngineIncarnations& aBefore,
+                                   const EngineIncarnations& aNow)
 {
   for (const auto& [engine, born] : aNow) {
     const auto known = aBefore.find(engine);
--- a/src/pepperbay/relay/relay_core.hpp
+++ b/src/pepperbay/relay/relay_core.hpp
@@ -81,7 +81,8 @@
   EngineConnector mConnector;
   ExitProbe mExitProbe;
   RecentCompletions mRuns;
-  RecentCompletions mPartRuns; ///< prompt parts; in mRuns the more numerous requests would evict them
+  RecentCompletions
+    mPartRuns; ///< prompt parts; in mRuns the more numerous requests would evict them
   RelayCounters mCounters;
   std::set<std::shared_ptr<Session>> mSessions;
   std::set<std::shared_ptr<Exchange>> mExchanges;
