--- a/include/pepperbay/coordinator/coordinator.hpp
+++ b/include/pepperbay/coordinator/coordinator.hpp
@@ -34,7 +34,7 @@
   std::uint64_t mIncarnation = 0;
   std::string mDataCentre;
   std::string mAddress; ///< `IP:port` at which this node receives messages of peers
-  /// Where its slot allocator receives messages; see places/place_agent.hpp.
+  /// Where its slot allocator receives messages; see places/slot_agent.hpp.
   std::string mAllocatorAddress;
   /// Where it tunnels connections to engines for other nodes, and the key that these must present;
   /// empty: it does not tunnel. See tunnel/tunnel_server.hpp.
--- a/include/pepperbay/relay/relay.hpp
+++ b/include/pepperbay/relay/relay.hpp
@@ -135,7 +135,7 @@
   /// A replica's head has been silent for too long while it had streams. To be handled on another
   /// thread than the relay's.
   std::function<void(const std::string& aHead, Duration aSilence)> mOnSuspect;
-  /// A replica's head refuses requests or no longer listens. Rate-limited, see RefusalBook.
+  /// A replica's head refuses requests or no longer listens. Rate-limited, see RefusalTracker.
   std::function<void(const std::string& aHead)> mOnRefused;
   /// An engine exited while it had this request.
   std::function<void(const RequestKey& aRequest, const EngineEnd& aEnd)> mOnEngineExited;
--- a/include/pepperbay/routing/traffic_plan.hpp
+++ b/include/pepperbay/routing/traffic_plan.hpp
@@ -38,7 +38,7 @@
 };
 
 /// A slot allocator: a node that grants slots to the requests of other nodes; see
-/// places/place_agent.hpp.
+/// places/slot_agent.hpp.
 struct AllocatorAddress
 {
   std::string mNode;
