--- a/src/pepperbay/relay/connection_pool_test.cpp
+++ b/src/pepperbay/relay/connection_pool_test.cpp
@@ -5,8 +5,8 @@
 namespace pepperbay {
 namespace {
 
-/// Guards against nodes that each keep connections as if they were alone, so that an engine resets
-/// those of callers.
+/// Guards against each node sizing its pool as if it were the only one: together they would exceed
+/// the engine's connection limit, and the engine would reset connections of callers.
 TEST(ConnectionPool, AllNodesTogetherKeepNoMoreThanHalfOfWhatAnEngineTakes)
 {
   for (const int most : { 52, 110, 404, 640, 1952 }) {
--- a/src/pepperbay/relay/connector_peers_test.cpp
+++ b/src/pepperbay/relay/connector_peers_test.cpp
@@ -1,5 +1,5 @@
-/// A node that is cut from engines, whose peers are cut with their data centre, full, late, frozen
-/// or gone, but for one or more.
+/// A node without a direct path to engines. Most of its peers cannot help: they are cut off with
+/// their data centre, full, late, frozen or gone. At least one of them opens tunnels.
 #include "connector_world.hpp"
 
 #include <algorithm>
@@ -15,9 +15,9 @@
 
 constexpr std::size_t kMostProxies = 8;
 constexpr std::size_t kEngines = 40;
-constexpr milliseconds kLateTick{ 30 }; ///< of a node that is busy
+constexpr milliseconds kLateTick{ 30 }; ///< tick interval of an overloaded node
 
-/// A fleet of some nodes in a few data centres.
+/// @return nodes that are spread evenly over data centres.
 ProxyPeers
 Fleet(int aNodes, int aCentres)
 {
@@ -28,7 +28,7 @@
   return fleet;
 }
 
-/// @return the peers of a node of the first data centre, as the control state chooses them.
+/// @return the peers of a node in the first data centre, chosen as the control state does.
 ProxyPeers
 PeersOf(const std::string& aNode, ProxyPeers aFleet)
 {
@@ -39,7 +39,7 @@
   return ChooseProxyPeers(aNode, "c0", aFleet, kMostProxies);
 }
 
-/// @return peers of which the one that carries is asked last.
+/// @return eight peers, of which the only one that opens tunnels is asked last.
 ProxyPeers
 OneGoodOfEight(PeerKind aOthers, ConnectorWorld* aWorld)
 {
@@ -58,7 +58,7 @@
   int mServed = 0;
 };
 
-/// Requests one after the other, with pauses that are drawn.
+/// Sends requests one after the other, with random pauses.
 void
 RequestsFor(Answers* aAnswers, ConnectorWorld* aWorld, Duration aFor)
 {
@@ -70,7 +70,8 @@
   }
 }
 
-/// Peers of the node's own data centre are cut as well; of the others one carries connections.
+/// Draws the states of peers: those in the node's own data centre are cut off as well, and at least
+/// one of the others opens tunnels.
 void
 DrawKinds(const ProxyPeers& aPeers, ConnectorWorld* aWorld)
 {
@@ -89,8 +90,8 @@
     *rc::gen::element(PeerKind::kCarries, PeerKind::kLate);
 }
 
-/// Guards against a node of a data centre that is cut whole whose callers fail for longer than a
-/// second, though at each moment one of its peers carries connections.
+/// Guards against failures for longer than a second at a node whose whole data centre is cut off
+/// from the engines, although at each moment one of its peers opens tunnels.
 RC_GTEST_PROP(ConnectorPeers, ACutNodeWithOneGoodPeerServesAsOthersDo, ())
 {
   const auto [nodes, centres] =
@@ -112,8 +113,8 @@
   RC_ASSERT(later.mServed >= 0.98 * later.mAsked);
 }
 
-/// Guards against a node that asks peers one after the other, while the only one that carries is
-/// the last, so that the first request waits for longer than a connection may take.
+/// Guards against asking peers one at a time: where only the last one opens tunnels, the first
+/// request would wait for longer than the connect time-out.
 TEST(ConnectorPeers, TheLastOfEightPeersIsAskedWhileTheFirstConnectionIsMade)
 {
   for (const PeerKind kind : { PeerKind::kFrozen, PeerKind::kCut }) {
@@ -131,13 +132,13 @@
   }
 }
 
-/// Guards against a connection that is given up while one peer that would carry it has not been
-/// asked, since it failed a while ago and some that have not failed were asked before it.
+/// Guards against giving up a connection before all usable peers were asked. A peer that failed a
+/// while ago is asked after those that have not failed, but it must still be asked.
 TEST(ConnectorPeers, OneThatFailedIsAskedAfterAllThatHaveNot)
 {
   ConnectorWorld world(kEngines);
   ProxyPeers peers = OneGoodOfEight(PeerKind::kCarries, &world);
-  peers.front().mDataCentre = "c0"; // so that it has its turn
+  peers.front().mDataCentre = "c0"; // so that it is asked in turn with the others
   world.mPeerKinds["good"] = PeerKind::kFull;
   world.SetPeers(peers);
   world.mPath = PathKind::kRefuses;
@@ -151,7 +152,7 @@
   EXPECT_TRUE(world.Connects(0));
 }
 
-/// Guards against a node that asks many peers for each connection though the first one answers.
+/// Guards against asking several peers for each connection when the first one answers.
 TEST(ConnectorPeers, WhereThePeersCarryOneIsAskedForEachConnection)
 {
   ConnectorWorld world(kEngines);
--- a/src/pepperbay/relay/connector_sight_test.cpp
+++ b/src/pepperbay/relay/connector_sight_test.cpp
@@ -1,4 +1,4 @@
-/// Engines that fall silent for a moment beside a node that judges its own paths.
+/// Engines that pause for a moment while the node checks whether its own direct path is down.
 #include "connector_world.hpp"
 
 #include <algorithm>
@@ -16,8 +16,8 @@
   return { { "p0", "", "", "c0" }, { "p1", "", "", "c1" } };
 }
 
-/// Guards against an idle node that takes itself for cut since the one engine that it connects to
-/// paused, and is reached by a peer a moment later.
+/// Guards against a false direct-path-down on an idle node: the one engine it connects to pauses,
+/// and a peer reaches that engine a moment later.
 TEST(ConnectorSight, APauseOfOneEngineMakesNoNodeBlind)
 {
   for (int pause = 1; pause < 120; ++pause) {
@@ -31,8 +31,8 @@
   }
 }
 
-/// Guards against a node that takes itself for cut since two engines paused at once, and were
-/// reached by a peer a moment later: only the first of the two faults is checked at another engine.
+/// Guards against a false direct-path-down when two engines pause at once and a peer reaches them a
+/// moment later. Only the first of the two faults is checked against another engine.
 TEST(ConnectorSight, APauseOfTwoEnginesMakesNoNodeBlind)
 {
   for (int pause = 1; pause < 120; ++pause) {
@@ -48,7 +48,7 @@
   }
 }
 
-/// The same where the second pauses longer, and is the one by which the node judges its sight.
+/// As above, but the second engine pauses longer and is the one used for the reachability check.
 TEST(ConnectorSight, APauseOfTheEngineThatIsLookedAtMakesNoNodeBlind)
 {
   for (int pause = 1; pause < 120; ++pause) {
@@ -65,7 +65,7 @@
   }
 }
 
-/// Guards against a node that is cut and goes on trying its own connections.
+/// Guards against a node that goes on trying its own connections after its direct path is down.
 TEST(ConnectorSight, ACutIsKnownSoonAfterTheFirstPathFault)
 {
   for (const PathKind cut : { PathKind::kSilent, PathKind::kRefuses }) {
@@ -79,8 +79,8 @@
   }
 }
 
-/// Guards against a node that takes itself for cut since the one engine that it asks, to judge its
-/// own sight, pauses at that moment. It says that it has no word, and no more.
+/// Guards against a false direct-path-down when the engine used for a reachability check pauses at
+/// that moment. Such a check reports no reachability, and has no further effect.
 TEST(ConnectorSight, ALookAtAnEngineThatPausesMakesNoNodeBlind)
 {
   ConnectorWorld world(3);
@@ -98,7 +98,8 @@
   EXPECT_EQ(world.mAvoided, 0);
 }
 
-/// Guards against a node that hears one engine only, and takes itself for cut while that pauses.
+/// Guards against a false direct-path-down on a node that receives data from one engine only, while
+/// that engine pauses.
 TEST(ConnectorSight, APauseOfTheOnlyEngineLatelyHeardMakesNoNodeBlind)
 {
   for (int pause = 1; pause < 1500; pause += 7) {
@@ -115,7 +116,7 @@
   }
 }
 
-/// Guards against a node that is cut and has a word on engines.
+/// Guards against a positive reachability check on a node that reaches no engine.
 TEST(ConnectorSight, ANodeThatIsCutFindsNoSight)
 {
   for (const PathKind cut : { PathKind::kSilent, PathKind::kRefuses }) {
--- a/src/pepperbay/relay/connector_world.hpp
+++ b/src/pepperbay/relay/connector_world.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief A connector of one node before engines and peers that exist in virtual time only.
+/// @brief An engine connector with simulated engines and peers, in virtual time.
 #pragma once
 
 #include "engine_connector.hpp"
@@ -15,18 +15,18 @@
 enum class PathKind
 {
   kOpen,
-  kSilent, ///< nothing comes through
+  kSilent, ///< packets are dropped
   kRefuses,
 };
 
 enum class PeerKind
 {
   kCarries,
-  kLate,   ///< carries, and takes long to answer
-  kFull,   ///< carries nothing now
-  kFrozen, ///< takes the question and says nothing
+  kLate,   ///< opens tunnels, but answers slowly
+  kFull,   ///< opens no tunnel at the moment
+  kFrozen, ///< accepts the request and never answers
   kGone,   ///< no process listens
-  kCut,    ///< reaches no engine either, on silent paths
+  kCut,    ///< reaches no engine either: its paths are silent
 };
 
 class ConnectorWorld
@@ -34,7 +34,7 @@
 public:
   static constexpr std::chrono::milliseconds kRoundTrip{ 4 };
   static constexpr std::chrono::milliseconds kLate{ 16 };
-  static constexpr std::chrono::seconds kRetransmission{ 1 }; ///< of a lost SYN
+  static constexpr std::chrono::seconds kRetransmission{ 1 }; ///< time-out of a lost SYN
 
   explicit ConnectorWorld(int aEngines, const std::string& aNode = "node")
     : mConnector(mContext, Options(aNode), Hooks())
@@ -50,7 +50,7 @@
     mConnector.SetPeers(std::make_shared<const ProxyPeers>(aPeers));
   }
 
-  /// Let time pass. Ticks come at any phase.
+  /// Advances the time in steps of 1 ms and runs what is due. Ticks keep their phase over calls.
   void Run(Duration aFor)
   {
     constexpr std::chrono::milliseconds kStep{ 1 };
@@ -68,7 +68,7 @@
     }
   }
 
-  /// @return whether one connection to an engine stands.
+  /// @return whether a connection to the engine was established.
   bool Connects(std::size_t aEngine)
   {
     std::optional<bool> stands;
@@ -81,8 +81,9 @@
     return *stands;
   }
 
-  /// One request without a kept connection, that goes on to other engines as the relay does.
-  /// @return how long it took until a connection stood; nothing where none did
+  /// Simulates one request that finds no pooled connection. Like the relay, it tries other engines
+  /// when a connection fails.
+  /// @return the time until a connection was established, or std::nullopt if all attempts failed
   std::optional<Duration> Request(std::size_t aFirst)
   {
     constexpr std::size_t kConnects = 3;
@@ -102,14 +103,14 @@
   }
 
   ManualClock mClock;
-  PathKind mPath = PathKind::kOpen;              ///< of this node to all engines
-  std::map<std::string, PathKind> mPathTo;       ///< to single engines, where it is another
-  std::map<std::string, TimePoint> mPausedUntil; ///< engines whose kernel takes no connection
-  std::map<std::string, PeerKind> mPeerKinds;    ///< others carry
+  PathKind mPath = PathKind::kOpen;              ///< from this node to all engines
+  std::map<std::string, PathKind> mPathTo;       ///< exceptions for single engines
+  std::map<std::string, TimePoint> mPausedUntil; ///< engines that accept no connection
+  std::map<std::string, PeerKind> mPeerKinds;    ///< default: kCarries
   std::vector<AttemptTarget> mEngines;
-  Duration mTick = std::chrono::milliseconds(20); ///< as the relay has it
-  int mAvoided = 0;                               ///< times that the node has taken itself for cut
-  int mAsked = 0;                                 ///< questions to peers
+  Duration mTick = std::chrono::milliseconds(20); ///< default of the relay
+  int mAvoided = 0;                               ///< times that the direct path was found down
+  int mAsked = 0;                                 ///< tunnel requests to peers
 
 private:
   static EngineConnectorOptions Options(const std::string& aNode)
@@ -138,7 +139,7 @@
                             const TunnelOpening::Done& aDone) {
       ++mAsked;
       Ask(aPeer.mNode, aAddress, aRequest, aDone);
-      return [] {}; // one that is over takes no answer
+      return [] {}; // cancelling does nothing: late answers are ignored
     };
     return hooks;
   }
--- a/src/pepperbay/relay/event_splitter_test.cpp
+++ b/src/pepperbay/relay/event_splitter_test.cpp
@@ -32,8 +32,8 @@
   EXPECT_FALSE(event->mId);
 }
 
-/// Looking for the end of an event from its beginning with each piece takes the square of its
-/// length: this test would take minutes.
+/// Guards against quadratic time: if each piece restarted the search for the end of the event from
+/// its beginning, this test would take minutes.
 TEST(EventSplitter, AnEventWithoutEndIsLookedThroughOnce)
 {
   constexpr std::size_t kPiece = 256;
@@ -52,7 +52,7 @@
   EXPECT_EQ(splitter.Next()->mBytes.size(), kAll + 4);
 }
 
-/// However the bytes are cut, the same events come out, and nothing is lost between them.
+/// The events do not depend on how the bytes are split into pieces, and no bytes are lost.
 RC_GTEST_PROP(EventSplitter, CutsDoNotMatter, ())
 {
   std::string all;
--- a/src/pepperbay/relay/relay_endless_test.cpp
+++ b/src/pepperbay/relay/relay_endless_test.cpp
@@ -1,4 +1,4 @@
-/// Engines that send bytes without end, which are no answer.
+/// Engines that send endless bytes that never form an answer.
 #include "relay_fixture.hpp"
 
 #include <future>
@@ -6,13 +6,13 @@
 namespace pepperbay {
 namespace {
 
-/// Bytes of an answer beyond what these tests let a node keep.
+/// Size in bytes of an answer that exceeds the buffer limit in these tests.
 constexpr std::size_t kLarge = std::size_t{ 1 } << 20U;
 
 class RelayEndless : public RelayTest
 {
 protected:
-  /// Writes a piece again and again, until the relay closes.
+  /// Writes a piece repeatedly until the relay closes the connection.
   static RawEngine::Script Repeats(const std::string& aFirst, const std::string& aPiece)
   {
     return [aFirst, aPiece](RawConnection& aConnection) {
@@ -30,7 +30,7 @@
   const std::string mPiece = std::string(4096, 'a');
 };
 
-/// A caller would wait until its deadline while its engine sends interim answers.
+/// Guards against a caller that waits until its deadline while the engine sends interim answers.
 TEST_F(RelayEndless, InterimAnswersAreBrokenOff)
 {
   RawEngine engine(Repeats("", "HTTP/1.1 102 Processing\r\n\r\n"));
@@ -49,7 +49,7 @@
   EXPECT_EQ(StatusOf(Ask(Once())), 200);
 }
 
-/// The process would keep all of it and be ended for its memory.
+/// Guards against running out of memory by buffering an endless header.
 TEST_F(RelayEndless, AHeadIsBrokenOff)
 {
   RawEngine engine(Repeats("HTTP/1.1 200 OK\r\nA: ", mPiece));
@@ -57,7 +57,7 @@
   EXPECT_EQ(StatusOf(Ask(Once())), 502);
 }
 
-/// The same before the first byte of a chunk.
+/// As above, for an endless chunk extension before the first byte of a chunk.
 TEST_F(RelayEndless, TheSizeOfAChunkIsBrokenOff)
 {
   RawEngine engine(Repeats(std::string(kHead) + "Transfer-Encoding: chunked\r\n\r\n5;", mPiece));
@@ -65,7 +65,7 @@
   EXPECT_EQ(StatusOf(Ask(Once())), 502);
 }
 
-/// The same after the last chunk.
+/// As above, for endless trailers after the last chunk.
 TEST_F(RelayEndless, TrailersAreBrokenOff)
 {
   RawEngine engine(Repeats(std::string(kHead) + "Transfer-Encoding: chunked\r\n\r\n0\r\n",
@@ -74,7 +74,7 @@
   EXPECT_EQ(StatusOf(Ask(Once())), 502);
 }
 
-/// Answers that are each within the bound would together end the process for its memory.
+/// Guards against running out of memory by several answers that are each within the limit.
 TEST_F(RelayEndless, BodiesAreBoundedTogetherAndSmallAnswersServed)
 {
   constexpr std::size_t kHalf = std::size_t{ 300 } << 10U;
@@ -104,7 +104,7 @@
   EXPECT_EQ(Counters().mBufferedBytes, 0U);
 }
 
-/// The same by events, of which each would be whole in the end.
+/// As above, for large events, each of which would be complete in the end.
 TEST_F(RelayEndless, EventsAreBoundedWithThem)
 {
   RelayOptions options;
--- a/src/pepperbay/relay/relay_fixture.hpp
+++ b/src/pepperbay/relay/relay_fixture.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief A relay before hand-written engines, for its tests.
+/// @brief Test fixture: a relay in front of scripted engines.
 #pragma once
 
 #include "fakes/raw_engine.hpp"
@@ -23,8 +23,9 @@
 
 using std::chrono::seconds;
 
-/// Headers of a made-up platform: `Req` names the request, `Part` a part of its prompt, `Seal`
-/// vouches, `Not-Run` states it, `Limit` names what the engine takes in a second.
+/// The headers of an imaginary platform: `Req` is the request id, `Part` a prompt part, `Seal`
+/// marks an answer as authentic, `Not-Run` states that the request was not run, and `Limit` is the
+/// engine's rate limit in requests per second.
 inline Dialect
 TestDialect()
 {
@@ -84,12 +85,12 @@
   route.mResumable = aKind == RequestKind::kStream;
   route.mMaxAttempts = aKind == RequestKind::kUnrepeatable ? 1 : 2;
   route.mTimeout = seconds(20);
-  route.mObjective = seconds(20); // no second attempt for slowness in these tests
+  route.mObjective = seconds(20); // slow requests are not hedged in these tests
   route.mSplit = { { aService, 1.0 } };
   return route;
 }
 
-/// A relay on a thread of its own before engines of the test.
+/// Runs a relay on its own thread in front of the engines of a test.
 class RelayTest : public testing::Test
 {
 protected:
@@ -188,7 +189,7 @@
     return socket;
   }
 
-  /// Send one request and read until the relay closes.
+  /// Sends one request and reads until the relay closes the connection.
   std::string Ask(const std::string& aRequest) const
   {
     const int socket = Connect();
@@ -217,7 +218,7 @@
   asio::executor_work_guard<asio::io_context::executor_type> mWork{ mContext.get_executor() };
   TrafficPlan mPlan;
   bool mPublishAtOnce = true;
-  /// An engine that ended, and a request that it had.
+  /// An engine exit, and a request that was at the engine.
   struct SeenEnd
   {
     RequestKey mRequest;
@@ -231,7 +232,8 @@
     std::map<std::string, std::string> mFields;
   };
 
-  /// @return the fields of the first line of an event, once there is one.
+  /// Waits for a log line of an event.
+  /// @return the fields of the first such line
   std::map<std::string, std::string> AwaitLine(const std::string& aEvent)
   {
     std::unique_lock<std::mutex> lock(mEndsMutex);
@@ -246,13 +248,13 @@
   std::mutex mEndsMutex;
   std::condition_variable mEndsChanged;
   std::vector<SeenEnd> mEnds;
-  int mStreamAttempts = 2; ///< engines to which a stream may be sent
+  int mStreamAttempts = 2; ///< maximum number of engines a stream is sent to
   std::vector<SeenLine> mLines;
-  std::vector<std::string> mSentToDesks; ///< bytes of messages, in order
-  std::atomic<bool> mReaches{ true };    ///< engines, by this node's own connections
-  std::atomic<int> mRanWhole{ 0 };       ///< suspect requests that ran to their end
-  std::atomic<int> mRefusals{ 0 };       ///< times that a head was said to refuse
-  std::atomic<int> mSuspects{ 0 };       ///< times that a head was said to be silent
+  std::vector<std::string> mSentToDesks; ///< serialized messages, in order
+  std::atomic<bool> mReaches{ true };    ///< last reported state of the direct path
+  std::atomic<int> mRanWhole{ 0 };       ///< suspect requests reported as completed
+  std::atomic<int> mRefusals{ 0 };       ///< heads reported as refusing
+  std::atomic<int> mSuspects{ 0 };       ///< heads reported as silent
   std::unique_ptr<Relay> mRelay;
   std::string mAddress;
   std::thread mThread;
--- a/src/pepperbay/relay/relay_limits_test.cpp
+++ b/src/pepperbay/relay/relay_limits_test.cpp
@@ -7,11 +7,10 @@
 {
   const char* mWhat;
   std::string mBytes;
-  std::uint64_t mLimited; ///< engines with a limit afterwards
+  std::uint64_t mLimited; ///< number of engines with a limit afterwards
 };
 
-/// Guards against a limit, or the end of one, being taken from an answer that does not vouch for
-/// it.
+/// Guards against setting or removing a limit because of an answer that is not authentic.
 TEST_F(RelayTest, OnlyTheEnginesOwnAnswersSayWhatItTakes)
 {
   const std::string ok = "HTTP/1.1 200 OK\r\nReq: q1\r\nContent-Length: 0\r\n";
@@ -44,14 +43,14 @@
   options.mNow = clock.Hook();
   Serve({ &engine }, options);
   for (n = 0; n < answers.size(); ++n) {
-    clock.Advance(seconds(2)); // answers are told apart by when their requests left
+    clock.Advance(seconds(2)); // answers are ordered by the time their requests were sent
     Ask(Post("/once/", "x", "Key: k1\r\n"));
     EXPECT_EQ(Counters().mLimitedEngines, answers[n].mLimited) << answers[n].mWhat;
   }
   EXPECT_EQ(Counters().mBadLimits, 2U);
 }
 
-/// An engine that answers all requests, with a limit.
+/// @return an engine that answers all requests and states a limit.
 std::unique_ptr<RawEngine>
 LimitedEngine(const char* aLimit)
 {
@@ -77,8 +76,8 @@
   SharedClock mClock;
 };
 
-/// Guards against a limit of a plain service's engine, which each node chooses by itself, not being
-/// kept.
+/// Guards against exceeding the limit of a plain service's engine. Each node chooses among these
+/// engines by itself.
 TEST_F(RelayLimits, APlainEngineGetsNoMoreThanItNamesAndTheOtherTakesTheRest)
 {
   const auto limited = LimitedEngine("2");
@@ -88,7 +87,7 @@
   });
   ServeAndCount({ limited.get(), &free });
   while (Counters().mLimitedEngines == 0) {
-    Alert(); // which of the two idle engines is first follows from a hash
+    Alert(); // a hash decides which of the two idle engines is first
     mClock.Advance(std::chrono::milliseconds(20));
   }
   mClock.Advance(seconds(3));
@@ -102,7 +101,7 @@
   EXPECT_EQ(StatusOf(Alert()), 200);
 }
 
-/// Guards against requests that are held, or sent all the same, where every engine is limited.
+/// Guards against requests that wait, or are sent regardless, when every engine is at its limit.
 TEST_F(RelayLimits, WhereAllAreLimitedRequestsAreRefusedAtOnceWithATimeThatIsTrue)
 {
   const auto limited = LimitedEngine("2");
--- a/src/pepperbay/relay/relay_moves_fixture.hpp
+++ b/src/pepperbay/relay/relay_moves_fixture.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief A relay before two engines, of which the test offers the second when it wants to.
+/// @brief Test fixture: a relay in front of two engines, the second of which the test adds later.
 #pragma once
 
 #include "relay_fixture.hpp"
@@ -13,7 +13,7 @@
 inline constexpr const char* kEventB = "f\r\nid: 2\ndata: b\n\n\r\n";
 inline constexpr const char* kStreamEnd = "0\r\n\r\n";
 
-/// An engine that gives this has not run the request.
+/// States that the engine has not run the request.
 inline constexpr const char* kRefusal =
   "HTTP/1.1 503 No\r\nReq: q1\r\nNot-Run: 1\r\nConnection: close\r\nContent-Length: 0\r\n\r\n";
 
@@ -23,8 +23,8 @@
   return std::string(kHead) + "Transfer-Encoding: chunked\r\n\r\n";
 }
 
-/// A clock that the test moves, and that tells when the relay has looked at it often enough to have
-/// done all that was due.
+/// A manual clock that counts how often the relay reads it. From the count a test knows that the
+/// relay has run everything that was due.
 class WatchedClock
 {
 public:
@@ -44,10 +44,10 @@
     mNow += aBy;
   }
 
-  /// Return once several ticks of the relay have passed.
+  /// Waits until several ticks of the relay have passed.
   void WaitForTicks()
   {
-    constexpr std::uint64_t kLooks = 60; // a tick looks at the clock some five times
+    constexpr std::uint64_t kLooks = 60; // a tick reads the clock about five times
     std::unique_lock<std::mutex> lock(mMutex);
     const std::uint64_t enough = mFaultProbes + kLooks;
     mBackoffs.wait(lock, [&] { return mFaultProbes >= enough; });
@@ -77,7 +77,7 @@
     Publish();
   }
 
-  /// From here on the second engine takes requests as well.
+  /// Publishes a plan in which the second engine takes requests as well.
   void OfferSecond()
   {
     mPlan.mReplicas["pool"][1].mSuspended = false;
@@ -91,7 +91,7 @@
                       [this] { return Ask(Post("/stream/", "x", "Model: m\r\n")); });
   }
 
-  /// Let time pass in steps, so that the relay does in between what is due.
+  /// Advances the clock in steps, so that the relay runs what is due in between.
   void Pass(Duration aTime)
   {
     constexpr std::chrono::milliseconds kStep{ 50 };
@@ -101,7 +101,8 @@
     }
   }
 
-  /// @return an answer that is due; a request that nothing ends is ended by its deadline.
+  /// @return the answer. A request that hangs is ended by its deadline: after 10 s of real time the
+  /// clock advances by 20 s.
   std::string TextOf(std::future<std::string> aAnswer)
   {
     if (aAnswer.wait_for(seconds(10)) != std::future_status::ready) {
--- a/src/pepperbay/relay/relay_reach_fixture.hpp
+++ b/src/pepperbay/relay/relay_reach_fixture.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief A relay whose paths to engines a test cuts, beside peers that carry connections for it.
+/// @brief Test fixture: a relay whose paths to engines can be cut, and peers that tunnel for it.
 #pragma once
 
 #include "fakes/cut_proxy.hpp"
@@ -11,7 +11,7 @@
 
 inline constexpr const char* kEvents = "f\r\nid: 1\ndata: a\n\n\r\n0\r\n\r\n";
 
-/// Answers a request, a stream with one event.
+/// Answers a request: a stream with one event, any other with a short body.
 inline void
 AnswerOne(RawConnection& aConnection, const std::string& aRequest)
 {
@@ -34,7 +34,7 @@
   }
 }
 
-/// Another node before the same engines, on a thread of its own, that carries connections.
+/// Another node in front of the same engines, on its own thread, that tunnels connections.
 class Peer
 {
 public:
@@ -61,7 +61,7 @@
     mThread = std::thread([this] { mContext.run(); });
   }
 
-  /// End it as the end of its process does.
+  /// Stops it abruptly, as if its process were killed.
   void Stop()
   {
     mContext.stop();
@@ -71,7 +71,7 @@
     mRelay.reset();
   }
 
-  /// Ask it to stop as a signal does. @return once it has
+  /// Stops it gracefully, as a signal does. Returns once it has stopped.
   void StopInOrder()
   {
     std::promise<void> stopped;
@@ -79,7 +79,7 @@
     stopped.get_future().wait();
   }
 
-  /// @return whether it still listens for callers.
+  /// @return whether it still accepts callers.
   bool TakesCallers() const
   {
     const int socket = ConnectTo(mOptions.mCallers);
@@ -108,8 +108,8 @@
   std::thread mThread;
 };
 
-/// Three engines, each behind a path of its own from the node under test, and a peer that reaches
-/// them all.
+/// Three engines, each behind its own path from the node under test, and a peer that reaches all
+/// of them.
 class RelayReach : public RelayTest
 {
 protected:
@@ -168,7 +168,9 @@
     }
   }
 
-  /// @return how many of some requests of each kind are answered 200 at the first try.
+  /// Sends requests of three kinds, each without retries by the caller.
+  /// @param aOfEach requests of each kind
+  /// @return the number that were answered 200
   int Served(int aOfEach)
   {
     int served = 0;
@@ -183,8 +185,8 @@
 
   int AskOnce() const { return StatusOf(Ask(Post("/once/x", "b", "Key: k1\r\n"))); }
 
-  /// Cut all paths by a reset while three requests that may run only once are with engines.
-  /// @param aBegun counts those that engines have read
+  /// Resets all paths while three requests that must not be repeated are in progress at engines.
+  /// @param aBegun the number of requests that engines have read
   void CutWhileThreeRun(const std::atomic<int>& aBegun)
   {
     std::vector<std::future<int>> answers;
