--- a/src/pepperbay/relay/relay_attempts_test.cpp
+++ b/src/pepperbay/relay/relay_attempts_test.cpp
@@ -1,4 +1,4 @@
-/// How many engines a stream is sent to, and which of them may have it once more.
+/// How many engines a stream is sent to, and which of them it may be sent to again.
 #include "pepperbay/base/hash.hpp"
 #include "relay_moves_fixture.hpp"
 
@@ -12,26 +12,26 @@
 
 using std::chrono::milliseconds;
 
-/// After this a head whose replica is called lost counts as one that stands still.
+/// After this time without data, the head of a replica reported as lost counts as stalled.
 constexpr milliseconds kStandsStill{ 200 };
 
 class RelayAttempts : public RelayMoves
 {
 protected:
-  /// An engine that refuses some requests, then serves.
+  /// An engine that refuses the first requests and serves the later ones.
   static RawEngine::Script RefuseFirst(int aRefusals, std::atomic<int>* aRequests)
   {
     return [aRefusals, aRequests](RawConnection& aConnection) {
       if (aConnection.ReadRequest().empty()) {
-        return; // it was only tried whether it listens
+        return; // a probe that only checks whether the engine listens
       }
       aConnection.Write(++*aRequests <= aRefusals ? std::string(kRefusal)
                                                   : StreamHead() + kEventB + kStreamEnd);
     };
   }
 
-  /// An engine that writes an event and ends its connection when it is told to; from then on it
-  /// serves.
+  /// An engine that answers the first request with one event and resets that connection on command.
+  /// It serves all later requests.
   struct FirstEngine
   {
     void Script(RawConnection& aConnection)
@@ -55,7 +55,8 @@
     RawEngine mEngine{ [this](RawConnection& aConnection) { Script(aConnection); } };
   };
 
-  /// Wait for the next question to the desk. @return it; an empty one when none comes
+  /// Waits up to 10 s for the next request to the slot allocator.
+  /// @return the request; an empty message if there was none
   proto::PlaceMessage AwaitQuestion()
   {
     const TimePoint until = BootClock::now() + seconds(10);
@@ -76,7 +77,7 @@
     return {};
   }
 
-  /// The desk grants a place at the n-th engine.
+  /// Sends the slot allocator's answer: a slot granted at the engine with this index.
   void Grant(const proto::PlaceMessage& aQuestion, std::size_t aEngine)
   {
     const PoolReplica& replica = mPlan.mReplicas["pool"][aEngine];
@@ -104,8 +105,8 @@
   }
 };
 
-/// Guards against a stream that is cut when its first engine dies, since a refusal of its second
-/// engine has used up those that its route allows.
+/// Guards against cutting a stream when its first engine dies because an earlier refusal by the
+/// second engine counts towards the route's maximum number of engines.
 TEST_F(RelayAttempts, AnEngineThatHasRefusedTakesTheStreamWhoseFirstEngineDies)
 {
   FirstEngine first;
@@ -120,7 +121,7 @@
   Pass(kStandsStill);
   AwaitRefusal();
   Pass(milliseconds(300));
-  EXPECT_EQ(requests, 1) << "asked again while its first engine may only pause";
+  EXPECT_EQ(requests, 1) << "asked again although the first engine may only be paused";
   first.mEnd.set_value();
   const std::string text = TextOf(std::move(answer));
   EXPECT_EQ(requests, 2);
@@ -128,7 +129,7 @@
   EXPECT_TRUE(Has(text, kStreamEnd)) << text;
 }
 
-/// The same on a route that allows more engines than there are.
+/// As above, on a route that allows more engines than there are.
 TEST_F(RelayAttempts, AnEngineThatHasRefusedTakesTheStreamOfARouteThatAllowsMoreEngines)
 {
   mStreamAttempts = 3;
@@ -152,7 +153,7 @@
   EXPECT_TRUE(Has(text, "data: b")) << text;
 }
 
-/// A listener that takes no connection: its queue is full.
+/// A listener that accepts no connection because its backlog is full.
 struct DeafListener
 {
   DeafListener()
@@ -168,7 +169,7 @@
     mAddress = "127.0.0.1:" + std::to_string(ntohs(address.sin_port));
     for (int i = 0; i < 4; ++i) {
       const int socket = ::socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK, 0);
-      // Under way, or taken: both fill the queue.
+      // Pending and established connections both fill the backlog.
       static_cast<void>(::connect(socket, reinterpret_cast<sockaddr*>(&address), sizeof(address)));
       mSockets.push_back(socket);
     }
@@ -185,8 +186,8 @@
   std::vector<int> mSockets;
 };
 
-/// Guards against a pause, in which a second engine took no connection, that costs a stream that
-/// engine for good: it goes on nowhere once its first engine ends.
+/// Guards against excluding a second engine permanently after a pause in which it accepted no
+/// connection: the stream could not continue anywhere once its first engine exits.
 TEST_F(RelayAttempts, AnEngineThatPausedTakesTheStreamWhoseFirstEngineDies)
 {
   FirstEngine first;
@@ -206,7 +207,7 @@
   FirstReplica().mLost = false;
   mPlan.mReplicas["pool"][1].mHead.mAddress = address;
   Publish();
-  Pass(milliseconds(200)); // both are well
+  Pass(milliseconds(200)); // both have recovered
   first.mEnd.set_value();
   mClock.WaitForTicks();
   Pass(milliseconds(2000));
@@ -215,8 +216,8 @@
   EXPECT_TRUE(Has(text, "data: b")) << text;
 }
 
-/// Guards against a pause of three engines, which took no connection, that leaves a stream with no
-/// second attempt for good, though other engines are well.
+/// Guards against a stream that has no second attempt left after three engines paused and accepted
+/// no connection, although another engine is healthy.
 TEST_F(RelayAttempts, AStreamThatMetThreePausesGoesOnAtAFourthEngine)
 {
   FirstEngine first;
@@ -248,7 +249,8 @@
   EXPECT_TRUE(Has(text, "data: b")) << text;
 }
 
-/// The same where the first engine is dark: nothing of its end shows.
+/// As `AnEngineThatHasRefusedTakesTheStreamWhoseFirstEngineDies`, but the first engine stays silent
+/// and its connection is never closed.
 TEST_F(RelayAttempts, AnEngineThatHasRefusedTakesTheStreamWhoseFirstEngineStaysSilent)
 {
   FirstEngine first;
@@ -269,7 +271,8 @@
   EXPECT_TRUE(Has(text, kStreamEnd)) << text;
 }
 
-/// Guards against a stream that is cut though the head that worked on it has formed anew.
+/// Guards against cutting a stream although the replica of its first head was re-formed under the
+/// same head, which can take the stream again.
 TEST_F(RelayAttempts, AHeadThatHasFormedAnewTakesItsStreamAgain)
 {
   FirstEngine first;
@@ -301,7 +304,7 @@
   EXPECT_TRUE(Has(text, kStreamEnd)) << text;
 }
 
-/// Guards against a stream that is sent to more engines than its route allows.
+/// Guards against sending a stream to more engines than its route allows.
 TEST_F(RelayAttempts, AStreamIsSentToNoThirdEngineWhateverTheOthersDo)
 {
   constexpr int kAlways = 1000;
@@ -330,11 +333,11 @@
   const std::string text = TextOf(std::move(answer));
   EXPECT_FALSE(Has(text, kStreamEnd)) << text;
   EXPECT_EQ(third.Requests(), 0);
-  EXPECT_EQ(requests, 2) << "once more, and no third time";
+  EXPECT_EQ(requests, 2) << "sent to the second engine again, but not a third time";
 }
 
-/// Guards against a stream that a desk, which does not know how many engines it was sent to, sends
-/// to one more than its route allows.
+/// Guards against exceeding the route's maximum number of engines because of a slot allocator,
+/// which does not know how many engines the stream was sent to.
 TEST_F(RelayAttempts, APlaceAtAThirdEngineIsGivenBack)
 {
   FirstEngine first;
@@ -370,8 +373,8 @@
   EXPECT_EQ(third.Requests(), 0);
 }
 
-/// Guards against a stream whose second engine is silent as well while another would take it: the
-/// last of the engines that its route allows is used up there.
+/// Guards against sending a stream to a second engine that is silent for this node as well. That
+/// uses up the last engine which the route allows, while another engine could serve the stream.
 TEST_F(RelayAttempts, AStreamDoesNotMoveToAHeadThatStandsStillForThisNode)
 {
   FirstEngine first;
@@ -383,7 +386,7 @@
   Serve({ &first.mEngine, &silent.mEngine, &sound });
   auto& replicas = mPlan.mReplicas["pool"];
   replicas[2].mSuspended = true;
-  replicas[2].mHead.mDataCentre = "far"; // the other one would be chosen
+  replicas[2].mHead.mDataCentre = "far"; // makes the silent engine the preferred one
   Publish();
   auto answer = AskStream();
   first.mBegan.get_future().wait();
--- a/src/pepperbay/relay/relay_kept_test.cpp
+++ b/src/pepperbay/relay/relay_kept_test.cpp
@@ -1,4 +1,4 @@
-/// Requests on kept connections that their engine closes.
+/// Requests on pooled connections that the engine closes.
 #include "relay_fixture.hpp"
 
 #include <condition_variable>
@@ -9,7 +9,7 @@
 
 constexpr int kCallers = 8;
 
-/// Holds threads back until as many have come as are expected.
+/// Blocks threads until the expected number have arrived.
 class Gate
 {
 public:
@@ -50,8 +50,9 @@
     return statuses;
   }
 
-  /// Answers the first request of each connection once all callers have one, and closes each of
-  /// these connections when the next comes. Connections that come later serve.
+  /// An engine that answers the first request on each of its first `kCallers` connections, once all
+  /// of these have a request, and closes each of them on its next request. Later connections serve
+  /// all requests.
   RawEngine::Script ClosesKept()
   {
     return [this](RawConnection& aConnection) {
@@ -75,8 +76,8 @@
 
 const std::vector<int> kAllServed(kCallers, 200);
 
-/// Guards against requests that may run again failing because their engine, the only one, closed
-/// all of its kept connections at once.
+/// Guards against failures of repeatable requests when the only engine closes all of its pooled
+/// connections at once.
 TEST_F(RelayKept, RequestsAreServedThoughAllKeptConnectionsCloseAtOnce)
 {
   RawEngine engine(ClosesKept());
@@ -86,7 +87,7 @@
   EXPECT_EQ(AskAtOnce(request), kAllServed);
 }
 
-/// The same of requests that are equal.
+/// As above, for equal requests.
 TEST_F(RelayKept, EqualRequestsAreServedThoughAllKeptConnectionsCloseAtOnce)
 {
   RawEngine engine(ClosesKept());
@@ -96,7 +97,8 @@
   EXPECT_EQ(AskAtOnce(request), kAllServed);
 }
 
-/// Guards against a probe of the engine for each of them, beside the connections that serve.
+/// Guards against one probe of the engine per stale connection, in addition to the connections that
+/// serve the requests.
 TEST_F(RelayKept, NoConnectionIsMadeThatServesNothing)
 {
   RawEngine engine(ClosesKept());
@@ -109,7 +111,7 @@
   EXPECT_TRUE(mEnds.empty());
 }
 
-/// An engine that serves one request on each connection, and closes it when the next comes.
+/// An engine that serves one request on each connection and closes it on the next one.
 void
 ServesOne(RawConnection& aConnection)
 {
@@ -118,7 +120,7 @@
   aConnection.ReadRequest();
 }
 
-/// Guards against a sound engine being passed over after it has closed a kept connection.
+/// Guards against avoiding a healthy engine after it has closed a pooled connection.
 TEST_F(RelayKept, TheEngineIsNotPassedOver)
 {
   RawEngine first(ServesOne);
@@ -130,8 +132,8 @@
   EXPECT_EQ(std::min(first.Requests(), second.Requests()), 0) << "the same one each time";
 }
 
-/// The same of a route on which a request may be sent to one engine only: the second connection
-/// goes to the same one.
+/// Guards against counting a new connection to the same engine as a second engine: on this route a
+/// request may be sent to one engine only.
 TEST_F(RelayKept, OneAttemptIsEnoughForASecondConnection)
 {
   RawEngine engine(ServesOne);
@@ -150,7 +152,8 @@
   EXPECT_EQ(StatusOf(Ask(Get("/safe/"))), 200);
 }
 
-/// The same of requests without a body in the answer, and with one of their own.
+/// As `RequestsAreServedThoughAllKeptConnectionsCloseAtOnce`, for HEAD requests and for requests
+/// with a body.
 TEST_F(RelayKept, HeadsAndBodiesAreServedAsWell)
 {
   RawEngine engine([](RawConnection& aConnection) {
@@ -168,7 +171,7 @@
   }
 }
 
-/// An engine that fails on the second connection too has failed: another one is asked.
+/// An engine that also fails on a new connection counts as failed, and another engine is tried.
 TEST_F(RelayKept, AnEngineThatBreaksOffAgainIsLeft)
 {
   std::atomic<int> connections{ 0 };
@@ -192,8 +195,8 @@
   EXPECT_EQ(second.Requests(), 1);
 }
 
-/// Guards against an engine that is slow on the second connection being asked a third time, where
-/// another one is free.
+/// Guards against a third attempt at an engine that is slow on the second connection, while another
+/// engine is free.
 TEST_F(RelayKept, AnEngineThatIsSlowOnTheSecondConnectionIsNotAskedAgain)
 {
   std::atomic<int> connections{ 0 };
@@ -218,8 +221,8 @@
   EXPECT_EQ(second.Requests(), 1);
 }
 
-/// Guards against a stream whose last attempt is lost in a kept connection, when a path that is
-/// reset has just shown that such connections die.
+/// Guards against spending a stream's last attempt on a pooled connection right after a reset of
+/// its path: pooled connections are then likely to be dead as well.
 TEST_F(RelayKept, AStreamThatIsBrokenOffGoesOnOverANewConnection)
 {
   const std::string head = std::string(kHead) + "Transfer-Encoding: chunked\r\n\r\n";
@@ -236,7 +239,7 @@
     const bool kept = connections++ == 0;
     aConnection.ReadRequest();
     aConnection.Write(head + (kept ? first : "f\r\nid: 2\ndata: b\n\n\r\n") + "0\r\n\r\n");
-    aConnection.ReadRequest(); // and closes the kept one under it
+    aConnection.ReadRequest(); // a second request on the pooled connection: the engine closes it
   });
   mPublishAtOnce = false;
   Serve({ &broken, &other });
@@ -249,7 +252,7 @@
   ASSERT_TRUE(caller.ReadUntil("data: a\n\n"));
   mPlan.mReplicas["pool"] = { both[1] };
   Publish();
-  ASSERT_EQ(StatusOf(Ask(Get("/stream/", "Model: m\r\n"))), 200); // its connection is kept
+  ASSERT_EQ(StatusOf(Ask(Get("/stream/", "Model: m\r\n"))), 200); // its connection is pooled
   mPlan.mReplicas["pool"] = both;
   Publish();
   breaks.set_value();
@@ -257,14 +260,15 @@
   ::close(socket);
 }
 
-/// Guards against an engine that ends under a request going unnoticed, as the connection was kept.
+/// Guards against missing an engine's exit during a request because the connection was a pooled
+/// one.
 TEST_F(RelayKept, ARequestIsSuspectedWhenItsEngineHasEnded)
 {
   auto engine = std::make_unique<RawEngine>([](RawConnection& aConnection) {
     aConnection.ReadRequest();
     aConnection.Write(std::string(kHead) + "Content-Length: 2\r\n\r\nok");
     aConnection.ReadRequest();
-    aConnection.ReadRequest(); // until the engine ends
+    aConnection.ReadRequest(); // blocks until the engine exits
   });
   Serve({ engine.get() });
   EXPECT_EQ(StatusOf(Ask(Get("/safe/"))), 200);
--- a/src/pepperbay/relay/relay_moves_test.cpp
+++ b/src/pepperbay/relay/relay_moves_test.cpp
@@ -1,13 +1,13 @@
-/// Requests that leave an engine for another while the first may still answer.
+/// Requests that move to another engine while the first engine may still answer.
 #include "relay_moves_fixture.hpp"
 
 namespace pepperbay {
 namespace {
 
-/// Symptom: a stream that its engine is writing is cut in a quiet hour, when engines are replaced.
-/// Sequence: a member leaves; the holder plans the replica under a later epoch; the old group still
-/// stands and writes; its streams leave it for other engines, of which most refuse them.
-/// Cause: a later epoch in the plan was read as the end of the old group.
+/// Guards against cutting an active stream when engines are replaced. When a member leaves, the
+/// lease holder plans the replica under a later epoch while the old group still runs and writes. If
+/// the later epoch is read as the end of the old group, its streams move to other engines, most of
+/// which refuse them.
 TEST_F(RelayMoves, AStreamStaysWithAnEngineThatWritesWhileItsReplicaIsPlannedAnew)
 {
   std::promise<void> began;
@@ -35,7 +35,7 @@
   EXPECT_EQ(second.Connections(), 0);
 }
 
-/// The same where the word is that a member is lost: it may have stopped listening and work on.
+/// As above, when a member is reported as lost: it may have stopped listening but still be working.
 TEST_F(RelayMoves, AStreamStaysWithAnEngineThatWritesWhateverIsSaidOfItsReplica)
 {
   std::promise<void> began;
@@ -61,10 +61,9 @@
   EXPECT_EQ(second.Connections(), 0);
 }
 
-/// Symptom: a stream is cut though its engine goes on and nobody has failed it.
-/// Sequence: its replica counts as lost and pauses; the stream is sent to a second engine; that one
-/// refuses; the caller's connection is closed, while the first engine has more events.
-/// Cause: the first engine was let go before the second had taken the stream.
+/// Guards against cutting a stream whose first engine recovers. The replica is reported as lost and
+/// pauses; the stream is sent to a second engine, which refuses it. If the relay drops the first
+/// engine before the second has accepted the stream, the remaining events are lost.
 TEST_F(RelayMoves, AStreamThatASecondEngineRefusesGoesOnAtItsFirst)
 {
   std::promise<void> began;
@@ -94,7 +93,7 @@
   EXPECT_TRUE(Has(text, kStreamEnd)) << text;
 }
 
-/// An engine that paused and goes on keeps its stream; the second one is told to stop.
+/// An engine that resumes after a pause keeps its stream; the attempt at the second is cancelled.
 TEST_F(RelayMoves, AnEngineThatGoesOnWhileASecondIsAskedKeepsItsStream)
 {
   std::promise<void> began;
@@ -122,7 +121,7 @@
   mClock.Advance(seconds(1));
   OfferSecond();
   if (answer.wait_for(seconds(10)) != std::future_status::ready) {
-    mClock.Advance(seconds(20)); // it waits for the second engine: end it by its deadline
+    mClock.Advance(seconds(20)); // it still waits for the second engine: let its deadline pass
   }
   const std::string text = answer.get();
   stopped.get_future().wait();
@@ -130,7 +129,8 @@
   EXPECT_TRUE(Has(text, kStreamEnd)) << text;
 }
 
-/// A stream whose replica stands still goes on at another engine, and the first is told to stop.
+/// A stream whose replica stalls continues at another engine; the attempt at the first is
+/// cancelled.
 TEST_F(RelayMoves, AStreamOfAReplicaThatStandsStillGoesOnElsewhere)
 {
   std::promise<void> began;
@@ -160,9 +160,9 @@
   EXPECT_TRUE(Has(text, kStreamEnd)) << text;
 }
 
-/// Symptom: a safe request fails with 502 though its engine answers in the end.
-/// Sequence: the first engine is slow; the second one is asked and refuses.
-/// Cause: as with streams, the first was let go before the second had taken the request.
+/// Guards against a 502 for a safe request that its slow first engine would answer, when the second
+/// engine refuses it. As with streams, the first must not be dropped before the second has accepted
+/// the request.
 TEST_F(RelayMoves, ASafeRequestThatASecondEngineRefusesIsAnsweredByItsFirst)
 {
   std::promise<void> asked;
@@ -183,13 +183,13 @@
   asked.get_future().wait();
   mClock.WaitForTicks();
   OfferSecond();
-  mClock.Advance(seconds(12)); // past the part of the objective after which a second is asked
+  mClock.Advance(seconds(12)); // past the fraction of the objective after which requests are hedged
   const std::string text = answer.get();
   EXPECT_EQ(second.Connections(), 1);
   EXPECT_EQ(StatusOf(text), 200) << text;
 }
 
-/// The quicker of two engines answers a safe request; the other is told to stop.
+/// The faster of two engines answers a safe request; the attempt at the other is cancelled.
 TEST_F(RelayMoves, ASafeRequestIsAnsweredByTheQuickerOfTwoEngines)
 {
   std::promise<void> asked;
@@ -214,10 +214,10 @@
   stopped.get_future().wait();
 }
 
-/// Symptom: one head refuses dozens of requests in a row; each loses time and one of its attempts.
-/// Sequence: a member of its replica stops listening, so the head takes nothing new; nobody has
-/// noticed, and the head with the least in progress is chosen again and again.
-/// Cause: a refusal taught the node nothing of the head.
+/// Guards against sending dozens of requests in a row to a head that refuses them, each of which
+/// loses time and one attempt. When a member of a replica stops listening, its head accepts nothing
+/// new. Unless refusals are recorded, this head has the fewest requests in progress and is chosen
+/// repeatedly.
 TEST_F(RelayMoves, AHeadThatHasRefusedIsNotAskedAgainAtOnce)
 {
   RawEngine refuses([](RawConnection& aConnection) {
@@ -227,7 +227,7 @@
   });
   RawEngine serves([](RawConnection& aConnection) {
     aConnection.ReadRequest();
-    // It closes after each answer, and says so: a request that crosses the close would be failed.
+    // Announces the close after each answer: a request sent on a closing connection would fail.
     aConnection.Write(std::string(kHead) +
                       "Connection: close\r\nTransfer-Encoding: chunked\r\n\r\n" + kEventA +
                       kStreamEnd);
@@ -243,13 +243,13 @@
   for (int i = 0; i < kRequests; ++i) {
     EXPECT_EQ(StatusOf(Ask(Post("/stream/", "x", "Model: m\r\n"))), 200);
   }
-  EXPECT_LE(refuses.Connections(), 2) << "asked once more, after a pause";
+  EXPECT_LE(refuses.Connections(), 2) << "tried at most once more, after the back-off";
 }
 
-/// Symptom: a stream stands still until its deadline, and its caller with it.
-/// Sequence: its replica is lost; a second engine is asked, takes the request and stands still as
-/// well; its replica is lost, too. Nothing ends the stream, which may be sent to no more engines.
-/// Cause: while a second engine was asked, nothing else was looked at.
+/// Guards against a stream that hangs until its deadline. Its replica is lost; a second engine
+/// accepts the request and stalls, and its replica is lost too. The stream may be sent to no more
+/// engines, so the relay must end it. It hangs if lost replicas are not checked while a second
+/// attempt is in progress.
 TEST_F(RelayMoves, AStreamThatStandsStillAtBothEnginesIsEnded)
 {
   std::promise<void> began;
@@ -280,15 +280,14 @@
     mClock.WaitForTicks();
   }
   EXPECT_EQ(Counters().mCut, 1U);
-  mClock.Advance(seconds(20)); // by its deadline at the latest
+  mClock.Advance(seconds(20)); // ends it by its deadline at the latest
   answer.get();
 }
 
-/// Symptom: a request waits for seconds at a replica that begins nothing new, while others are
-/// free. Sequence: a member stops listening; its head takes a request that it will not begin, and
-/// writes the streams that it has; the replica is said to be lost; the request waits until the last
-/// of these streams ends. Cause: events of other streams were taken for work on a request that has
-/// not begun.
+/// Guards against a request that waits for seconds at a lost replica while other replicas are free.
+/// When a member stops listening, the head accepts a request that it will not begin, but still
+/// writes its other streams. If their events count as progress of the request, it waits until the
+/// last of these streams ends.
 TEST_F(RelayMoves, ARequestThatWaitsAtALostReplicaIsSentElsewhereThoughOthersAreWritten)
 {
   std::promise<void> began;
@@ -322,21 +321,20 @@
   OfferSecond();
   mClock.WaitForTicks();
   EXPECT_EQ(Counters().mSecondAttempts, 1U);
-  mClock.Advance(seconds(1)); // whatever was found, both end
+  mClock.Advance(seconds(1)); // both streams end even if the check above failed
   mClock.WaitForTicks();
   end.set_value();
   EXPECT_TRUE(Has(written.get(), "data: a"));
   EXPECT_TRUE(Has(waiting.get(), kStreamEnd));
 }
 
-/// Symptom: a caller that reads slowly gets the bytes of two engines mixed.
-/// Sequence: an event waits for its caller to read; so the relay reads nothing of the engine, which
-/// passes for silent; its replica is said to be lost; a second engine is asked, and its events are
-/// written to the caller in the middle of the first one's.
-/// Cause: the caller's slowness was taken for the engine's silence.
+/// Guards against mixing the bytes of two engines for a caller that reads slowly. While an event
+/// waits for the caller, the relay reads nothing from the engine. If that counts as silence of the
+/// engine and its replica is reported as lost, a second engine is asked, and its events are written
+/// in the middle of an event of the first.
 TEST_F(RelayMoves, AStreamWhoseCallerReadsSlowlyStaysWithItsEngine)
 {
-  constexpr std::size_t kLong = 5000000; // more than the buffers on the way hold
+  constexpr std::size_t kLong = 5000000; // bytes; exceeds the socket buffers on the path
   std::promise<void> read;
   RawEngine first([&](RawConnection& aConnection) {
     aConnection.ReadRequest();
@@ -362,7 +360,7 @@
   mClock.WaitForTicks();
   mClock.WaitForTicks();
   EXPECT_EQ(second.Connections(), 0);
-  EXPECT_EQ(mSuspects, 0) << "other nodes' streams would pay for it";
+  EXPECT_EQ(mSuspects, 0) << "a false report would disturb the streams of other nodes";
   read.set_value();
   const std::string text = caller.ReadToEnd();
   ::close(socket);
@@ -371,8 +369,8 @@
   EXPECT_TRUE(Has(text, kStreamEnd));
 }
 
-/// Guards against a caller getting a failure because an engine, the only one left, closed a kept
-/// connection just as the next request went out on it.
+/// Guards against a failure for the caller when the only engine closes a pooled connection just as
+/// the next request is sent on it.
 TEST_F(RelayTest, ASafeRequestIsServedThoughItsKeptConnectionIsClosed)
 {
   std::atomic<bool> first{ true };
@@ -380,7 +378,7 @@
     aConnection.ReadRequest();
     aConnection.Write(std::string(kHead) + "Content-Length: 2\r\n\r\nok");
     if (first.exchange(false)) {
-      aConnection.ReadRequest(); // the connection is closed without an answer
+      aConnection.ReadRequest(); // closes the connection without an answer
     }
   });
   Serve({ &engine });
--- a/src/pepperbay/relay/relay_pauses_test.cpp
+++ b/src/pepperbay/relay/relay_pauses_test.cpp
@@ -1,4 +1,4 @@
-/// Engines that fall silent for a second or so and go on, while the plan speaks of their end.
+/// Engines that pause for about a second and resume, while the plan reports their replicas as lost.
 #include "relay_moves_fixture.hpp"
 
 namespace pepperbay {
@@ -6,15 +6,15 @@
 
 using std::chrono::milliseconds;
 
-/// The longest silence after which a sound engine goes on.
+/// The longest pause after which a healthy engine resumes.
 constexpr milliseconds kPause{ 1500 };
-/// After this a head whose replica is called lost counts as one that stands still.
+/// After this time without data, the head of a replica reported as lost counts as stalled.
 constexpr milliseconds kStandsStill{ 200 };
 
 class RelayPauses : public RelayMoves
 {
 protected:
-  /// An engine that writes what it is told to, falls silent, and goes on when it is told to.
+  /// An engine that answers a request with given bytes, pauses, and writes the rest on command.
   struct PausingEngine
   {
     explicit PausingEngine(std::string aBefore)
@@ -40,7 +40,7 @@
     RawEngine mEngine;
   };
 
-  /// What the control thread says of a replica whose head, or a member of it, is silent.
+  /// Publishes what the control thread reports when the head or a member of a replica is silent.
   void CallFirstLost()
   {
     FirstReplica().mLost = true;
@@ -49,7 +49,8 @@
   }
 };
 
-/// Guards against a silence that ends an answer: no other engine can take the stream.
+/// Guards against ending an answer because its engine pauses, when no other engine can take the
+/// stream.
 TEST_F(RelayPauses, AStreamWhoseOnlyEngineOfAReplicaCalledLostPausesGetsItsWholeAnswer)
 {
   PausingEngine first(StreamHead() + kEventA);
@@ -67,7 +68,7 @@
   EXPECT_TRUE(Has(text, kStreamEnd)) << text;
 }
 
-/// Guards against a 502 for a request whose engine pauses before its first event, and whose second
+/// Guards against a 502 for a request whose engine pauses before the first event, when a second
 /// engine refuses it.
 TEST_F(RelayPauses, ARequestThatWaitsAtAPausingEngineIsAnsweredThoughASecondRefuses)
 {
@@ -91,8 +92,8 @@
   EXPECT_TRUE(Has(text, kStreamEnd)) << text;
 }
 
-/// Guards against a cut of a stream that is being written, whose engine pauses and whose second
-/// engine refuses it.
+/// Guards against cutting a stream whose engine pauses after the first event, when a second engine
+/// refuses it.
 TEST_F(RelayPauses, AStreamThatASecondEngineRefusesOutlastsThePauseOfItsFirst)
 {
   PausingEngine first(StreamHead() + kEventA);
@@ -115,8 +116,8 @@
   EXPECT_TRUE(Has(text, kStreamEnd)) << text;
 }
 
-/// Guards against a stream that is let go by both of its engines, each of which pauses and is
-/// called lost: whichever goes on, answers.
+/// Guards against dropping a stream whose two engines both pause and are reported as lost: the
+/// engine that resumes first answers.
 TEST_F(RelayPauses, AStreamGoesOnAtTheSecondEngineThoughBothHavePaused)
 {
   PausingEngine first(StreamHead() + kEventA);
@@ -139,7 +140,7 @@
   EXPECT_TRUE(Has(text, kStreamEnd)) << text;
 }
 
-/// The same, where it is the first that goes on.
+/// As above, but the first engine resumes.
 TEST_F(RelayPauses, AStreamGoesOnAtTheFirstEngineThoughBothHavePaused)
 {
   PausingEngine first(StreamHead() + kEventA);
@@ -162,8 +163,8 @@
   second.GoOn("");
 }
 
-/// Guards against a pause that ends a stream which had waited before: its silence counts from when
-/// it was sent, and not from the head's last word.
+/// Guards against a short pause that ends a stream which has waited for long before. It happens if
+/// the silence is measured from when the stream was sent instead of from the start of the pause.
 TEST_F(RelayPauses, AStreamThatHasWaitedForLongOutlastsAShortPauseOfItsHead)
 {
   PausingEngine first("");
@@ -178,14 +179,14 @@
   mClock.WaitForTicks();
   FirstReplica().mLost = true;
   OfferSecond();
-  Pass(milliseconds(100)); // a first pause, in which the second engine refuses
+  Pass(milliseconds(100)); // first pause: the second engine refuses
   FirstReplica().mLost = false;
   mPlan.mReplicas["pool"][1].mSuspended = true;
   Publish();
-  Pass(milliseconds(2500)); // it waits at a head that is well
+  Pass(milliseconds(2500)); // waits at a healthy head
   FirstReplica().mLost = true;
   Publish();
-  Pass(milliseconds(300)); // a short pause
+  Pass(milliseconds(300)); // second, short pause
   const auto failed = Counters().mFailed;
   const auto cut = Counters().mCut;
   const auto refused = Counters().mRefused;
@@ -196,7 +197,7 @@
   EXPECT_EQ(StatusOf(text), 200) << text;
 }
 
-/// The same for a stream that has begun and was set aside by its head for others.
+/// As above, for a stream that has begun and that its head has set aside to serve others.
 TEST_F(RelayPauses, AStreamThatStoodAsideForLongOutlastsAShortPauseOfItsHead)
 {
   PausingEngine first(StreamHead() + kEventA);
@@ -225,7 +226,7 @@
   EXPECT_TRUE(Has(text, "data: b")) << text;
 }
 
-/// An engine of a plain service that pauses before its answer, and in the middle of it.
+/// A pause of a plain service's engine before or in the middle of its answer.
 struct PlainPause
 {
   const char* mWhat;
@@ -251,7 +252,7 @@
   }
 };
 
-/// Guards against a 502 or 504 for a request that may run only once, before its deadline.
+/// Guards against a 502 or 504 before the deadline for a request that must not be repeated.
 TEST_P(RelayPlainPauses, ARequestThatMayRunOnceWaitsForItsAnswer)
 {
   const bool begun = *GetParam().mBefore != '\0';
@@ -274,7 +275,7 @@
                                          PlainPause{ "middle", "ok", "ok" }),
                          [](const auto& aInfo) { return std::string(aInfo.param.mWhat); });
 
-/// Guards against a safe request that fails while its engine pauses and a second one refuses.
+/// Guards against a failed safe request when its engine pauses and a second one refuses.
 TEST_F(RelayPauses, ASafeRequestOutlastsAPauseThoughASecondEngineRefuses)
 {
   PausingEngine first("");
@@ -288,7 +289,7 @@
   first.AwaitRequest();
   mClock.WaitForTicks();
   OfferSecond();
-  mClock.Advance(seconds(12)); // past the part of the objective after which a second is asked
+  mClock.Advance(seconds(12)); // past the fraction of the objective after which requests are hedged
   Pass(kPause);
   first.GoOn(std::string(kHead) + "Content-Length: 2\r\n\r\nok");
   EXPECT_EQ(StatusOf(TextOf(std::move(answer))), 200);
--- a/src/pepperbay/relay/relay_peers_test.cpp
+++ b/src/pepperbay/relay/relay_peers_test.cpp
@@ -1,4 +1,4 @@
-/// A node that reaches no engine and has eight peers, of which one carries connections.
+/// A node without a direct path to engines that has eight peers, one of which opens tunnels.
 #include "relay_reach_fixture.hpp"
 
 namespace pepperbay {
@@ -7,8 +7,8 @@
 enum class BadPeer
 {
   kGone,   ///< no process listens
-  kFrozen, ///< takes connections and says nothing
-  kBusy,   ///< carries nothing now
+  kFrozen, ///< accepts connections and never answers
+  kBusy,   ///< opens no tunnel at the moment
   kCut,    ///< reaches no engine either
 };
 
@@ -41,7 +41,8 @@
 protected:
   static constexpr int kBad = 7;
 
-  /// Engines, peers and the node are of three data centres; bad peers are where a node looks first.
+  /// Publishes seven unusable peers and one usable peer in another data centre. The node asks the
+  /// unusable ones first, which are in the data centre of the engines.
   void ServeWithOneGoodPeer()
   {
     ServeBehindPaths();
@@ -83,15 +84,15 @@
   std::vector<std::unique_ptr<Peer>> mCut;
 };
 
-/// Guards against a node that asks peers which carry nothing again and again, and refuses its
-/// callers, though another one would carry.
+/// Guards against a node that repeatedly asks peers which open no tunnel, and refuses its callers,
+/// although another peer would open one.
 TEST_P(RelayPeers, TheOneThatCarriesIsFoundAndKeptTo)
 {
   ServeWithOneGoodPeer();
   EXPECT_EQ(Served(2), 6) << "the path is open";
   Cut(GetParam().mPath);
-  EXPECT_EQ(StatusOf(Ask(Get("/safe/x", "Left-Ms: 5000\r\n"))), 200) << "on a kept connection";
-  Served(2); // meanwhile it may look for a peer
+  EXPECT_EQ(StatusOf(Ask(Get("/safe/x", "Left-Ms: 5000\r\n"))), 200) << "on a pooled connection";
+  Served(2); // results ignored: the node may still be searching for a usable peer
   constexpr int kOfEach = 10;
   EXPECT_EQ(Served(kOfEach), 3 * kOfEach);
 }
--- a/src/pepperbay/relay/relay_test.cpp
+++ b/src/pepperbay/relay/relay_test.cpp
@@ -27,7 +27,8 @@
   EXPECT_TRUE(Has(seen, "\r\n\r\nbody"));
 }
 
-/// Guards against a 404 or 401 that a newer configuration, unknown to this node, would not give.
+/// Guards against a 404 or 401 that is wrong under a newer configuration that this node has not
+/// received yet.
 TEST_F(RelayTest, AMissInAConfigurationThatMayBeOutOfDateIsNotRunRatherThanRefused)
 {
   RawEngine engine([](RawConnection& aConnection) {
@@ -56,10 +57,10 @@
   const char* mWhat;
   std::string mBytes;
   bool mReset;
-  int mStatus; ///< for a request that may run once at most; 0: the connection ends
+  int mStatus; ///< for a request that must not be repeated; 0: the connection is closed
 };
 
-/// What is not provably the whole answer of this request never reaches the caller as one.
+/// Guards against passing on as a success what is not provably the complete answer to this request.
 TEST_F(RelayTest, OnlyAWholeAnswerOfThisRequestIsPassedOn)
 {
   const std::string head = kHead;
@@ -120,9 +121,9 @@
   EXPECT_EQ(StatusOf(Ask(Get("/safe/"))), 200);
 }
 
-/// Symptom: the caller's stream has a piece twice, or ends in the middle.
-/// Sequence: an engine breaks off inside an event; the relay goes on at another engine.
-/// Cause: bytes of the half event are passed on, or the second run starts from the beginning.
+/// Guards against a stream with missing or duplicate events after an engine fails inside an event
+/// and the relay resumes at another engine. It happens if bytes of the partial event are passed on,
+/// or if the second engine starts from the beginning.
 TEST_F(RelayTest, AStreamGoesOnElsewhereAfterItsLastWholeEvent)
 {
   const std::string stream = std::string(kHead) + "Transfer-Encoding: chunked\r\n\r\n";
@@ -156,7 +157,7 @@
   EXPECT_EQ(answer.find("HTTP/1.1"), answer.rfind("HTTP/1.1"));
 }
 
-/// An orderly end of the connection inside an event does not make the stream complete.
+/// Guards against treating a stream as complete when its body ends in order, but inside an event.
 TEST_F(RelayTest, AStreamThatEndsInsideAnEventIsBrokenOff)
 {
   RawEngine engine([](RawConnection& aConnection) {
@@ -171,8 +172,8 @@
   EXPECT_FALSE(Has(answer, "\r\n0\r\n\r\n")) << answer;
 }
 
-/// Symptom: engines work on for callers that have long given up.
-/// Cause: the caller's deadline was passed on as it came, not as what is left of it.
+/// Guards against engines that work for callers who have given up. It happens if the relay passes
+/// on the caller's time budget as received instead of what remains of it.
 TEST_F(RelayTest, AnEngineIsGivenLessTimeThanTheCaller)
 {
   std::string seen;
@@ -187,9 +188,8 @@
   EXPECT_LT(std::stoi(seen.substr(at + 9)), 9000);
 }
 
-/// Symptom: after a restart of all nodes half of the requests of that second are refused.
-/// Sequence: a new process listens; a caller connects and asks; the configuration comes.
-/// Cause: the process took up connections before it knew any route.
+/// Guards against refusing half of the requests for a second after all nodes restart. It happens if
+/// a new process handles requests before it has received the configuration.
 TEST_F(RelayTest, ACallerOfANewProcessIsServedOnceThePlanIsThere)
 {
   RawEngine engine([](RawConnection& aConnection) {
@@ -205,7 +205,7 @@
   RawConnection caller(socket);
   caller.Write(Get("/safe/"));
   TrafficPlan empty;
-  std::promise<void> asked; // the caller waits while the plan has nothing
+  std::promise<void> asked; // the caller waits while the plan is empty
   asio::post(mContext, [&] {
     mRelay->SetPlan(std::make_shared<TrafficPlan>(empty));
     asked.set_value();
@@ -216,7 +216,7 @@
   ::close(socket);
 }
 
-/// When no plan comes, callers are told so and not kept waiting.
+/// Guards against callers that wait indefinitely when no plan arrives: they are refused.
 TEST_F(RelayTest, ANewProcessWithoutAPlanRefusesAfterAWhile)
 {
   RawEngine engine([](RawConnection& aConnection) { aConnection.ReadRequest(); });
@@ -233,7 +233,7 @@
   ::close(socket);
 }
 
-/// Callers are not told that there is no such route by a node that knows no routes yet.
+/// Guards against a 404 from a node that has no configuration yet.
 TEST_F(RelayTest, ANodeWithoutAConfigurationRefuses)
 {
   RawEngine engine([](RawConnection& aConnection) { aConnection.ReadRequest(); });
@@ -254,12 +254,13 @@
   });
   Serve({ &engine });
   const std::string answer = Ask(Post("/stream/", "x", "Model: m\r\n"));
-  EXPECT_FALSE(Has(answer, "\r\n0\r\n\r\n")) << answer; // no end that looks complete
+  EXPECT_FALSE(Has(answer, "\r\n0\r\n\r\n"))
+    << answer; // no final chunk, which would mark it complete
 }
 
-/// Symptom: a request whose first event has not come waits until its connection times out.
-/// Sequence: the head of its replica dies silently; the replica forms anew under another head.
-/// Cause: the request looked for its old head among the replicas and, not finding it, waited on.
+/// Guards against a request without a first event that waits until its connection times out. The
+/// head of its replica dies silently and the replica is re-formed under another head; a search for
+/// the old head among the replicas then finds nothing.
 TEST_F(RelayTest, AReplicaThatFormedAnewUnderAnotherHeadIsLeft)
 {
   std::promise<void> began;
@@ -287,7 +288,7 @@
   EXPECT_EQ(StatusOf(answer.get()), 200);
 }
 
-/// A caller that leaves ends the work at the engine: its connection closes.
+/// When the caller disconnects, the relay closes the engine's connection, which ends the work.
 TEST_F(RelayTest, ACallerThatLeavesStopsTheWork)
 {
   std::promise<void> began;
@@ -336,8 +337,8 @@
   EXPECT_EQ(engine.Connections(), 0);
 }
 
-/// Symptom: a key that was taken away still works at a node that is cut off from the store.
-/// Cause: the node trusted its configuration without knowing how old it is.
+/// Guards against accepting a revoked key at a node that cannot reach the store. It happens if the
+/// node trusts its configuration regardless of its age.
 TEST_F(RelayTest, KeysThatMayBeOutOfDateAreNotTrusted)
 {
   RawEngine engine([](RawConnection& aConnection) { aConnection.ReadRequest(); });
@@ -349,8 +350,8 @@
   EXPECT_EQ(engine.Connections(), 0);
 }
 
-/// Symptom: a service whose engines all fail gets twice the load just when it bears least.
-/// Sequence: every engine breaks off each request after it has read it.
+/// Guards against doubling the load on a service whose engines all fail. Here each engine closes
+/// its connection after it has read a request.
 TEST_F(RelayTest, SecondAttemptsStayWithinTheBudget)
 {
   const auto breaks = [](RawConnection& aConnection) { aConnection.ReadRequest(); };
@@ -371,7 +372,7 @@
             kRequests + static_cast<int>(counters.mSecondAttempts));
 }
 
-/// New settings count for what comes next, also for services that have a budget already.
+/// New settings apply to later requests, also for services that have a budget already.
 TEST_F(RelayTest, ANewBudgetTakesForceWhileItRuns)
 {
   const auto breaks = [](RawConnection& aConnection) { aConnection.ReadRequest(); };
@@ -393,7 +394,8 @@
   EXPECT_EQ(Counters().mSecondAttempts, 1U);
 }
 
-/// The same when the second answer comes after the connection has been kept.
+/// Guards against taking a second answer, which arrives after the connection was pooled, for the
+/// answer to the next request.
 TEST_F(RelayTest, AnAnswerThatComesOnAKeptConnectionSpoilsIt)
 {
   std::promise<void> answered;
@@ -417,7 +419,7 @@
   EXPECT_TRUE(Has(answer, "\r\n\r\nok")) << answer;
 }
 
-/// A connection on which an engine puts a second answer is not used for the next request.
+/// As above, when the second answer arrives together with the first.
 TEST_F(RelayTest, ALateAnswerIsNotTakenForTheNext)
 {
   RawEngine engine([](RawConnection& aConnection) {
@@ -434,10 +436,9 @@
   }
 }
 
-/// Symptom: a caller waits until its deadline for an answer that cannot come.
-/// Sequence: an engine loses power with a request at work, so no connection is closed; it starts
-/// again under its id and registers.
-/// Cause: the request's engine was known by its id, which is in the list as before.
+/// Guards against a caller that waits until its deadline for an answer that cannot arrive. An
+/// engine loses power during a request, so its connection is not closed, and registers again under
+/// the same id. By the id alone it looks as if the engine were still there.
 TEST_F(RelayTest, ARequestAtAnEngineThatStartedAgainGoesElsewhere)
 {
   std::promise<void> asked;
@@ -465,8 +466,8 @@
   EXPECT_TRUE(Has(answer.get(), "\r\n\r\nok"));
 }
 
-/// Pattern: a burst that no replica has places for. Guards against callers who are refused
-/// together, come back together, and are refused again.
+/// Guards against synchronised retries: in a burst for which no replica has free slots, callers
+/// that are refused together would retry together and be refused again.
 TEST_F(RelayTest, CallersWhoFindAllReplicasFullComeBackAtDifferentTimes)
 {
   RawEngine engine([](RawConnection& aConnection) { aConnection.ReadRequest(); });
