--- a/src/pepperbay/relay/relay_reach_test.cpp
+++ b/src/pepperbay/relay/relay_reach_test.cpp
@@ -1,4 +1,4 @@
-/// A node that reaches no engine by itself, beside one that does.
+/// A node whose direct path to engines is down, next to a peer that reaches them.
 #include "relay_reach_fixture.hpp"
 
 #include <pepperbay.pb.h>
@@ -6,8 +6,8 @@
 namespace pepperbay {
 namespace {
 
-/// Guards against callers of a node that reaches no engine, all of whom are refused though other
-/// nodes reach them all.
+/// Guards against refusing all callers of a node that reaches no engine, although other nodes reach
+/// all engines.
 TEST_F(RelayReach, ANodeThatReachesNoEngineServesAsOthersDo)
 {
   ServeBehindPaths();
@@ -19,8 +19,8 @@
   }
 }
 
-/// Guards against a node that has never heard an engine, as it started in the cut, and takes none
-/// of it for a cut.
+/// Guards against a node that starts without a direct path and does not detect this, because it has
+/// never received anything from an engine.
 TEST_F(RelayReach, ANodeThatStartsWhileItIsCutServesAsOthersDo)
 {
   ServeBehindPaths();
@@ -34,8 +34,8 @@
   EXPECT_EQ(Served(2), 6);
 }
 
-/// Guards against an engine's end that is found by two places and passes for a cut of the node, so
-/// that everything goes through peers.
+/// Guards against taking an engine's exit, which the request and the probe both find, for a direct
+/// path that is down: all requests would then go through peers.
 TEST_F(RelayReach, AnEngineThatHasEndedIsNoCut)
 {
   std::promise<void> begun;
@@ -49,7 +49,8 @@
   mPaths.push_back(std::make_unique<CutProxy>(ended.Address()));
   mPlan.mEngines["plain"] = { { "ended", mPaths.back()->Address(), "" } };
   auto addresses = std::make_shared<EngineAddresses>(*mPlan.mAddresses);
-  (*addresses)["ended"] = FreeAddress(); // where the peer finds nobody
+  (*addresses)["ended"] =
+    FreeAddress(); // no process listens there: the peer's connection is refused
   mPlan.mAddresses = addresses;
   Peer second("second");
   second.Serve(mPlan);
@@ -57,7 +58,7 @@
   Publish();
   auto answer = std::async(std::launch::async, [this] { return AskOnce(); });
   begun.get_future().wait();
-  mPaths.back()->Set(PathState::kReset); // as its process ends
+  mPaths.back()->Set(PathState::kReset); // as when its process exits
   ends.set_value();
   EXPECT_EQ(answer.get(), 502);
   std::unique_lock<std::mutex> lock(mEndsMutex);
@@ -66,8 +67,8 @@
   EXPECT_EQ(Counters().mTunnelledByPeers, 0U);
 }
 
-/// Guards against engines that are well and are taken for ended by the resets and refusals of a
-/// cut: requests would be held back at all nodes, and heads said to be gone.
+/// Guards against taking resets and refusals of a path that is down for exits of healthy engines:
+/// requests would be quarantined at all nodes, and heads reported as lost.
 TEST_F(RelayReach, EnginesThatOnlyThisNodeDoesNotReachAreNotSaidToHaveEnded)
 {
   std::atomic<int> begun{ 0 };
@@ -89,8 +90,8 @@
   EXPECT_TRUE(mEnds.empty());
 }
 
-/// Guards against engines of plain services that get no more alerts from anybody since several
-/// nodes of a data centre were cut off from them.
+/// Guards against plain services' engines that receive no requests from any node because several
+/// nodes of one data centre were cut off from them and reported failures.
 TEST_F(RelayReach, WhatACutBreaksOffIsNotSaidToBeTheEnginesFailure)
 {
   std::atomic<int> begun{ 0 };
@@ -99,7 +100,7 @@
   std::atomic<bool> resets{ false };
   ServeBehindPaths([&](RawConnection& aConnection) {
     std::string request = aConnection.ReadRequest();
-    // Connections stay: one that closes unannounced would use up second attempts.
+    // Keeps the connection open: an unannounced close would use up second attempts.
     while (Has(request, " /stream/")) {
       AnswerOne(aConnection, request);
       request = aConnection.ReadRequest();
@@ -117,8 +118,8 @@
   mPlan.mIsDesk = false;
   mPlan.mDesks = { { "desk", "127.0.0.1:9" } };
   Publish();
-  /// @return engines that the next question for a place names as failing; a desk that has not
-  /// answered is passed over for a while.
+  /// @return the number of failing engines listed in the next slot request. It may take several
+  /// requests, since an allocator that has not answered is skipped for a while.
   const auto told = [this] {
     for (;;) {
       EXPECT_EQ(StatusOf(Ask(Get("/stream/x", "Model: m\r\n"))), 200);
@@ -133,7 +134,7 @@
     }
   };
   CutWhileThreeRun(begun);
-  told(); // the engines have been probed by the time of the next one
+  told(); // the engines have been probed by the time of the next slot request
   EXPECT_EQ(told(), 0);
   ends.set_value();
   Cut(PathState::kOpen);
@@ -146,8 +147,7 @@
   }
 }
 
-/// Guards against a stream that waits for an engine which will never be heard again over its
-/// connection.
+/// Guards against a stream that waits for data on a connection whose path is down.
 TEST_F(RelayReach, AStreamInProgressGoesOnElsewhereThroughAPeer)
 {
   std::atomic<int> streams{ 0 };
@@ -179,8 +179,8 @@
   EXPECT_GE(mPeer.Carried().mAnswers["open"], 1U);
 }
 
-/// Guards against streams that are moved though their connection lives on while new ones are
-/// refused.
+/// Guards against moving a stream whose established connection still works while new connections
+/// are refused.
 TEST_F(RelayReach, AConnectionThatLivesOnKeepsItsStream)
 {
   std::promise<void> rest;
@@ -214,8 +214,8 @@
   EXPECT_EQ(streams, 1);
 }
 
-/// Guards against engines that go on working for callers who have left, since a peer holds their
-/// connections.
+/// Guards against engines that go on working for callers who have disconnected because a peer keeps
+/// the tunnelled connection open.
 TEST_F(RelayReach, ACallersLeavingReachesTheEngineThroughAPeer)
 {
   std::promise<void> begun;
@@ -236,7 +236,8 @@
   closed.get_future().wait();
 }
 
-/// Guards against an alert that runs twice since the peer that carried it has ended.
+/// Guards against running a request that must not be repeated twice after the peer that tunnelled
+/// it exits.
 TEST_F(RelayReach, WhatMayRunOnceIsNotSentAgainWhenThePeerEnds)
 {
   std::promise<void> begun;
@@ -261,12 +262,12 @@
   EXPECT_EQ(Requests(), 1);
 }
 
-/// Guards against nodes that reach no engine and pass connections on to each other.
+/// Guards against nodes without a direct path that forward connections to each other.
 TEST_F(RelayReach, WherePeersAreCutAsWellRequestsAreRefusedAsNotRun)
 {
   ServeBehindPaths();
   Cut(PathState::kReset);
-  // The peer's own paths are the same ones: it finds the engines refusing it.
+  // The peer uses the same paths, so engines refuse its connections as well.
   Peer cut("cut");
   auto addresses = std::make_shared<EngineAddresses>();
   for (const auto& it : mPlan.mEngines["plain"]) {
@@ -287,7 +288,7 @@
   EXPECT_EQ(Counters().mEnginesExited, 0U);
 }
 
-/// Guards against a node that goes on through peers once its own connections stand again.
+/// Guards against a node that goes on using peers after its direct path has recovered.
 TEST_F(RelayReach, TheWayBackIsFoundAndOwnConnectionsAreUsedAgain)
 {
   ServeBehindPaths();
@@ -304,7 +305,7 @@
   EXPECT_EQ(Counters().mTunnelledByPeers, carried);
 }
 
-/// Guards against answers that are cut off when the node that carries them is stopped in order.
+/// Guards against truncated answers when the node that tunnels them is stopped gracefully.
 TEST_F(RelayReach, APeerThatStopsEndsWhatItCarriesFirst)
 {
   mPeer.mOptions.mStopGrace = milliseconds(1);
@@ -325,11 +326,11 @@
   while (mPeer.TakesCallers()) {
     std::this_thread::yield();
   }
-  // At that moment it would have stopped, but for what it carries.
+  // Only the tunnelled connection still keeps it from stopping.
   EXPECT_EQ(stopped.wait_for(seconds(0)), std::future_status::timeout);
   answers.set_value();
   EXPECT_EQ(answer.get(), 200);
-  SetPeers({}); // this node has heard that the peer stops, and keeps nothing open through it
+  SetPeers({}); // this node learns that the peer stops, and closes its connections through it
   Publish();
   stopped.wait();
 }
--- a/src/pepperbay/relay/relay_retries_test.cpp
+++ b/src/pepperbay/relay/relay_retries_test.cpp
@@ -1,4 +1,4 @@
-/// Second attempts of plain services' requests, out of the budget of all nodes.
+/// Second attempts of plain services' requests, which are limited by a budget shared by all nodes.
 #include "relay_fixture.hpp"
 
 namespace pepperbay {
@@ -19,7 +19,7 @@
     aConnection.Write(std::string(kHead) + "Content-Length: 2\r\n\r\nok");
   }
 
-  /// Wait for the question to the keeper. @return it
+  /// Waits for the request to the retry budget owner and returns it.
   proto::PlaceMessage Question()
   {
     for (;;) {
@@ -50,8 +50,8 @@
   std::atomic<int> mRead{ 0 };
 };
 
-/// Guards against a fleet of more nodes than the budget has second attempts, in which a request
-/// never has one.
+/// Guards against a fleet with more nodes than second attempts in the budget, where the local share
+/// of a node would never allow one.
 TEST_F(RelayRetries, ARequestHasASecondAttemptHoweverManyNodesThereAre)
 {
   RawEngine first([this](RawConnection& aConnection) { BreaksOff(aConnection); });
@@ -63,7 +63,7 @@
   EXPECT_EQ(StatusOf(Ask(Get("/safe/"))), 200);
 }
 
-/// Whoever does not keep the budget asks the keeper.
+/// A node that does not own the retry budget asks the owner and follows its answer.
 TEST_F(RelayRetries, TheKeeperIsAskedAndItsWordCounts)
 {
   for (const bool granted : { true, false }) {
@@ -74,7 +74,7 @@
       if (mRead > 0) {
         aConnection.Write(std::string(kHead) + "Content-Length: 2\r\n\r\nok");
       } else {
-        ++mRead; // it was asked first
+        ++mRead; // the request came here first
       }
     });
     mPlan = TrafficPlan();
@@ -92,7 +92,7 @@
   }
 }
 
-/// A stream that its engine breaks off after the first event, beside an engine that could go on.
+/// A stream whose engine fails after the first event, while another engine could resume it.
 class RelayAwaited : public RelayRetries
 {
 protected:
@@ -143,7 +143,7 @@
   std::unique_ptr<RawConnection> mCaller;
 };
 
-/// Guards against streams that are cut since second attempts are used up for a moment, though their
+/// Guards against cutting streams because second attempts are used up for a moment, although their
 /// callers would wait.
 TEST_F(RelayAwaited, AStreamGoesOnOnceThereIsASecondAttempt)
 {
@@ -155,7 +155,8 @@
   EXPECT_EQ(Counters().mCut, 0U);
 }
 
-/// Guards against callers who are held without hope until they leave.
+/// Guards against callers that wait until they give up although no second attempt becomes
+/// available.
 TEST_F(RelayAwaited, AStreamThatFindsNoSecondAttemptIsCutInTimeToComeBack)
 {
   BreakOff();
--- a/src/pepperbay/relay/relay_rush_test.cpp
+++ b/src/pepperbay/relay/relay_rush_test.cpp
@@ -1,11 +1,11 @@
-/// A balancer that sends most new connections to one node.
+/// Connection bursts: a load balancer sends most new connections to one node.
 #include "relay_fixture.hpp"
 
 namespace pepperbay {
 namespace {
 
-/// A node that gets the connections of a whole region reads them all, is late for all of them, and
-/// is taken out of rotation for its late answers.
+/// Guards against an overloaded node that accepts the connections of a whole region, answers all of
+/// them late, and is taken out of rotation for its latency.
 TEST_F(RelayTest, ConnectionsThatTheGateDoesNotTakeAreClosedUnread)
 {
   RawEngine engine([](RawConnection& aConnection) {
@@ -25,7 +25,7 @@
   EXPECT_EQ(counters.mClosedUnread, 1U);
   EXPECT_EQ(counters.mRequests, 1U);
   EXPECT_EQ(AwaitLine("closed_unread")["connections"], "1");
-  // A connection that was taken up is served on.
+  // An accepted connection is still served.
   kept.Write(Get("/safe/"));
   EXPECT_EQ(StatusOf(kept.ReadAnswer()), 200);
   EXPECT_EQ(kept.ReadToEnd(), "");
--- a/src/pepperbay/relay/relay_sight_test.cpp
+++ b/src/pepperbay/relay/relay_sight_test.cpp
@@ -1,13 +1,13 @@
-/// Nodes whose new connections fail while old ones live on: what they still hear is no proof that
-/// they reach engines.
+/// Nodes whose new connections fail while old ones still work: data received over old connections
+/// does not prove that the node reaches engines.
 #include "pepperbay/reach/tunnel_wire.hpp"
 #include "relay_reach_fixture.hpp"
 
 namespace pepperbay {
 namespace {
 
-/// A stream whose next event comes when its caller has read the last one, so that its engine is
-/// heard all the time.
+/// A stream that sends the next event when its caller has read the last one, so that the relay
+/// receives data from its engine continuously.
 class EndlessStream
 {
 public:
@@ -16,7 +16,7 @@
   EndlessStream(const EndlessStream&) = delete;
   EndlessStream& operator=(const EndlessStream&) = delete;
 
-  /// The engine's side.
+  /// The engine's side: writes events until `Stop()`.
   void Write(RawConnection& aConnection)
   {
     aConnection.Write(std::string(kHead) + "Transfer-Encoding: chunked\r\n\r\n");
@@ -33,8 +33,9 @@
     }
   }
 
-  /// The caller's side: begin, and read on until `Stop()`.
-  /// @param aSocket to a relay
+  /// The caller's side: starts a thread that reads events until `Stop()`. Returns after the first
+  /// event.
+  /// @param aSocket connected to a relay; `Stop()` closes it
   void Read(int aSocket)
   {
     mSocket = aSocket;
@@ -77,7 +78,7 @@
   std::thread mThread;
 };
 
-/// Streams at the first engine, all else at the second.
+/// Streams go to the first engine, all other requests to the second.
 class RelaySight : public RelayReach
 {
 protected:
@@ -105,8 +106,8 @@
   EndlessStream mStream;
 };
 
-/// Guards against engines that are well and are said to have ended by a node that is cut, since it
-/// still hears another engine over a connection from before the cut.
+/// Guards against reporting healthy engines as exited by a node whose direct path is down, because
+/// it still receives data from another engine over an older connection.
 TEST_F(RelaySight, AnEngineThatRefusesACutNodeHasNotEndedThoughOldConnectionsLiveOn)
 {
   std::promise<void> begun;
@@ -127,15 +128,16 @@
   breaks.set_value();
   EXPECT_EQ(answer.get(), 502) << "whether it ran is unknown";
   while (cut.Carried().mAnswers["refused"] == 0) {
-    std::this_thread::yield(); // the peer is asked for the engine that broke the request off
+    std::this_thread::yield(); // waits until the peer was asked for the engine that reset the
+                               // request
   }
-  EXPECT_EQ(AskOnce(), 503) << "refused here as well, which the peer's answer goes before";
+  EXPECT_EQ(AskOnce(), 503) << "the engine refuses this node as well, after the peer's answer";
   EXPECT_EQ(Counters().mEnginesExited, 0U);
   EXPECT_TRUE(mEnds.empty());
 }
 
-/// Guards against an engine that is called lost by the word of a peer that is cut itself, and hears
-/// another engine over a connection from before the cut.
+/// Guards against reporting an engine as lost because of a peer that is cut off itself, but still
+/// receives data from another engine over an older connection.
 TEST_F(RelaySight, APeerWhoseNewConnectionsFailHasNoWordOnEngines)
 {
   ServeStreamsApart([](RawConnection&) {});
--- a/src/pepperbay/relay/relay_stop_test.cpp
+++ b/src/pepperbay/relay/relay_stop_test.cpp
@@ -3,7 +3,7 @@
 namespace pepperbay {
 namespace {
 
-/// A relay that is asked to stop while one request is in progress, with a paused clock.
+/// A relay with a manual clock that is asked to stop while one request is in progress.
 class StopTest : public RelayTest
 {
 protected:
@@ -46,10 +46,9 @@
   std::future<std::string> mInProgress;
 };
 
-/// Symptom: callers lose answers when a node is stopped.
-/// Sequence: one request is in progress, one connection idle, and on one half a request has come.
-/// Cause: the process ended before its balancer had stopped sending, or took on what it could not
-/// finish.
+/// Guards against lost answers when a node is stopped: one request is in progress, one connection
+/// is idle, and on a third half a request has arrived. Answers are lost if the process exits before
+/// the load balancer stops sending, or accepts requests that it cannot finish.
 TEST_F(StopTest, AnswersWhatIsInProgressAndRefusesWhatComesLate)
 {
   ServeAndBegin();
@@ -63,7 +62,7 @@
   halfSide.Write(KeptGet("/nowhere/") + next.substr(0, next.size() - 2));
   EXPECT_TRUE(Has(halfSide.ReadAnswer(), " 404 "));
   BeginStop();
-  EXPECT_EQ(StatusOf(Ask(Get("/nowhere/"))), 404); // the balancer may still send
+  EXPECT_EQ(StatusOf(Ask(Get("/nowhere/"))), 404); // the load balancer may still send requests
   mClock.Advance(RelayOptions().mStopGrace);
   EXPECT_EQ(idleSide.ReadToEnd(), ""); // closed
   halfSide.Write(next.substr(next.size() - 2));
@@ -79,9 +78,9 @@
   mStopped.get_future().wait();
 }
 
-/// Symptom: the body of an answer at the deadline said that the request had not run, and it had.
-/// Sequence: the engine has read the request and is silent until the deadline.
-/// Cause: that it may have run was found out for the status only, and the body told the old state.
+/// Guards against an error body that denies a request has run when an engine has read it and then
+/// stayed silent until the deadline. It happens if the outcome is updated after the body is built,
+/// so that only the status reflects it.
 TEST_F(StopTest, ARequestWithoutAnAnswerInTimeIsSaidToBeUnknown)
 {
   ServeAndBegin();
@@ -92,8 +91,8 @@
   mAnswer.set_value();
 }
 
-/// A process that is about to be killed tells its last callers what it knows. Before, the body said
-/// "not run" of requests that engines had read.
+/// A process that reaches its stop time-out answers its remaining callers before it exits. Guards
+/// against a body that says "not run" for requests that engines have read.
 TEST_F(StopTest, WhatDoesNotEndInTimeIsAnsweredBeforeTheProcessEnds)
 {
   ServeAndBegin();
@@ -106,7 +105,7 @@
   mAnswer.set_value();
 }
 
-/// Guards against a caller's connection that ends under a half-read request without a line.
+/// Guards against a missing log line when a caller's connection closes during a half-read request.
 TEST_F(RelayTest, AConnectionThatEndsUnderAHalfReadRequestHasALine)
 {
   Serve({});
--- a/src/pepperbay/relay/relay_suspects_test.cpp
+++ b/src/pepperbay/relay/relay_suspects_test.cpp
@@ -1,4 +1,5 @@
-/// Requests under which engines end: what the relay notes of them, and what it refuses.
+/// Requests during which engines exit: which of them the relay reports as suspects, and which it
+/// refuses because they are quarantined.
 #include "relay_fixture.hpp"
 
 namespace pepperbay {
@@ -7,7 +8,7 @@
 constexpr const char* kEvent = "f\r\nid: 1\ndata: a\n\n\r\n";
 constexpr const char* kStreamEnd = "0\r\n\r\n";
 
-/// The engines here close after each answer, and say so.
+/// These engines close the connection after each answer, and announce it.
 std::string
 StreamHead()
 {
@@ -21,7 +22,7 @@
 
   std::string AskStream() const { return Ask(Post("/stream/", "x", "Model: m\r\n")); }
 
-  /// A stream's request with a body of its own and a part that others may have.
+  /// Requests a stream with a body of its own and the prompt part `p`.
   std::string AskWithPart(const std::string& aBody) const
   {
     return Ask(Post("/stream/", aBody, "Model: m\r\nPart: p\r\n"));
@@ -29,7 +30,8 @@
 
   static RequestKey PartKey() { return KeyOfPromptPart("", "pool", "p"); }
 
-  /// What the plan says of a request or a part from here on.
+  /// Publishes a plan that marks a request or a prompt part as suspect.
+  /// @param aHeldFor duration of the quarantine; negative: it is over
   void Suspect(int aScore, Duration aHeldFor, const RequestKey& aKey = StreamKey())
   {
     auto suspects = std::make_shared<SuspectRequests>();
@@ -45,10 +47,11 @@
     return mEnds;
   }
 
-  /// Reads a request, begins to answer it where asked to, and ends: its listener with it.
+  /// An engine that reads requests, can begin to answer them, and then exits with its listener.
   struct MortalEngine
   {
-    /// @param aRuns it answers whole while this is so
+    /// @param aAnswers sends the header of a stream before it exits
+    /// @param aRuns if not null, the engine completes its answers while this is true
     explicit MortalEngine(bool aAnswers, const std::atomic<bool>* aRuns = nullptr)
       : mEngine(std::make_unique<RawEngine>([this, aAnswers, aRuns](RawConnection& aConnection) {
         aConnection.ReadRequest();
@@ -83,12 +86,12 @@
 
     std::mutex mMutex;
     std::condition_variable mAsked;
-    int mGot = 0; ///< requests that it has begun
+    int mGot = 0; ///< requests that it has received and not completed
     std::unique_ptr<RawEngine> mEngine;
   };
 };
 
-/// An engine that ends is told apart from one that breaks a connection off, by its listener.
+/// An engine that exits no longer listens, unlike one that only closes a connection.
 TEST_F(RelaySuspects, ARequestIsSuspectedOfTheEndOfAnEngineThatHadJustBegunIt)
 {
   MortalEngine mortal(true);
@@ -103,8 +106,8 @@
   EXPECT_EQ(ends[0].mEnd.mEngine, EngineStartHash("e0", {}));
 }
 
-/// A replica whose head has ended stays in the plan until its registration lapses, and all that is
-/// sent there fails: nobody tells the holder of a head that closes its connections.
+/// Guards against not reporting a head that closes its connections to the lease holder: its replica
+/// would stay in the plan until the registration expires, and all requests sent there would fail.
 TEST_F(RelaySuspects, TheHolderHearsOfAHeadThatHasEndedWithItsStreams)
 {
   MortalEngine mortal(true);
@@ -131,10 +134,10 @@
   EXPECT_EQ(mRefusals, 1);
   clock.Advance(seconds(1));
   EXPECT_EQ(StatusOf(AskStream()), 503);
-  EXPECT_EQ(mRefusals, 2); // a new holder has not heard the first
+  EXPECT_EQ(mRefusals, 2); // repeated because a new holder may not have received the first report
 }
 
-/// What waits at an engine that ends is a bystander, more likely than not.
+/// A request that only waited at an engine that exits is probably not the cause.
 TEST_F(RelaySuspects, ARequestThatWaitedAtAnEngineThatEndsIsSuspectedLess)
 {
   MortalEngine mortal(false);
@@ -147,7 +150,7 @@
   EXPECT_EQ(ends[0].mEnd.mSuspicion, Suspicion::kPresent);
 }
 
-/// A plain engine answers when it is done, so a request without an answer may be the cause.
+/// A plain engine answers only when it is done, so a request without an answer may be the cause.
 TEST_F(RelaySuspects, ARequestWithoutAnAnswerAtAPlainEngineThatEndsIsSuspected)
 {
   MortalEngine mortal(false);
@@ -162,8 +165,8 @@
   EXPECT_EQ(ends[0].mEnd.mSuspicion, Suspicion::kBegun);
 }
 
-/// Engines that reset connections and live, or sit behind a link that does, would have harmless
-/// requests refused.
+/// Guards against refusing harmless requests because an engine, or the link to it, resets
+/// connections without an exit.
 TEST_F(RelaySuspects, AnEngineThatBreaksOffAndLivesRaisesNoSuspicion)
 {
   RawEngine engine([](RawConnection& aConnection) {
@@ -178,12 +181,12 @@
     std::this_thread::yield();
   }
   ASSERT_GT(engine.Connections(), engine.Requests()) << "it is connected to once more";
-  EXPECT_EQ(StatusOf(AskStream()), 502); // by now the relay has seen that connection
+  EXPECT_EQ(StatusOf(AskStream()), 502); // after this answer the relay has handled that connection
   EXPECT_TRUE(WaitForEnds(0).empty());
   EXPECT_EQ(Counters().mEnginesExited, 0U);
 }
 
-/// Each node would send it on, and each time an engine would end.
+/// Guards against nodes that keep sending a request which ends an engine each time.
 TEST_F(RelaySuspects, ARequestThatIsHeldBackIsRefusedAtOnceAndReachesNoEngine)
 {
   RawEngine engine([](RawConnection& aConnection) {
@@ -200,7 +203,7 @@
   ASSERT_NE(at, std::string::npos) << answer;
   EXPECT_GT(std::stod(answer.substr(at + 13)), 590.0);
   EXPECT_EQ(engine.Connections(), 0);
-  // Another caller's request, or another body, is not held back.
+  // A request with another body is not quarantined.
   EXPECT_EQ(StatusOf(Ask(Post("/stream/", "y", "Model: m\r\n"))), 200);
 }
 
@@ -213,11 +216,11 @@
   Serve({ &engine });
   Suspect(4, -seconds(1));
   EXPECT_EQ(StatusOf(AskStream()), 200);
-  EXPECT_EQ(mRanWhole, 1); // which clears it on all nodes
+  EXPECT_EQ(mRanWhole, 1); // reported, which clears it on all nodes
 }
 
-/// A request that many callers send all the time is at each engine that ends; it would be refused
-/// to all of them.
+/// Guards against refusing a request that many callers send constantly, so that it is present at
+/// each engine that exits.
 TEST_F(RelaySuspects, ARequestThatHasJustRunToItsEndIsNotSuspected)
 {
   std::atomic<bool> runs{ true };
@@ -236,7 +239,8 @@
   EXPECT_EQ(ends[0].mRequest, KeyOfRequest("", "h", "/stream/", "y"));
 }
 
-/// Nodes that saw only the ends hold it back; one that has just had it answered knows better.
+/// Nodes that saw only the exits quarantine a request; a node where it has just been answered
+/// clears it.
 TEST_F(RelaySuspects, ANodeClearsWhatHasJustRunToItsEndThere)
 {
   RawEngine engine([](RawConnection& aConnection) {
@@ -251,7 +255,7 @@
   EXPECT_EQ(mRanWhole, 1);
 }
 
-/// A second engine would end as the first one did.
+/// Guards against a suspect request that makes a second engine exit as well.
 TEST_F(RelaySuspects, ASuspectRequestIsNotSentToASecondEngineWhenItsFirstBreaksOff)
 {
   MortalEngine first(true);
@@ -272,7 +276,8 @@
   EXPECT_EQ(second.Connections(), 0);
 }
 
-/// Copies of one request wait at several engines when it becomes clear that it ends them.
+/// Guards against further engine exits by copies of a request that are already at engines when the
+/// request is quarantined.
 TEST_F(RelaySuspects, WhatAnEngineHasOnlyBegunIsStoppedOnceItIsHeldBack)
 {
   std::promise<void> asked;
@@ -293,7 +298,8 @@
   EXPECT_TRUE(Has(text, R"("ran":"unknown")")) << text;
 }
 
-/// Requests that share one part of their prompts, and are never alike, each end one engine more.
+/// Guards against different requests that share one prompt part, each of which makes another engine
+/// exit.
 TEST_F(RelaySuspects, APartOfAPromptIsSuspectedWithItsRequest)
 {
   MortalEngine mortal(true);
@@ -309,8 +315,8 @@
   EXPECT_EQ(AwaitLine("engine_ended")["parts"], "p");
 }
 
-/// Most requests of a route share a part; each engine's end would be charged to it, and the whole
-/// route be refused.
+/// Guards against refusing a whole route: most of its requests share one prompt part, which would
+/// be suspected of each engine exit.
 TEST_F(RelaySuspects, APartThatHasJustRunToItsEndIsNotSuspected)
 {
   std::atomic<bool> runs{ true };
@@ -326,8 +332,8 @@
   EXPECT_EQ(ends[0].mRequest, StreamKey());
 }
 
-/// An engine that ends between two events of an answer without length or chunks closes it as if it
-/// were whole; a part that ends engines would count as harmless.
+/// Guards against clearing a harmful prompt part: if an engine exits between two events of an
+/// answer without a length or chunks, the answer looks complete.
 TEST_F(RelaySuspects, AnAnswerThatEndsWithItsConnectionClearsNoPart)
 {
   std::atomic<int> answers{ 0 };
@@ -347,7 +353,7 @@
   EXPECT_EQ(mRanWhole, 1);
 }
 
-/// Requests with a part that ends engines would go on reaching them, each as a new one.
+/// Guards against new requests with a quarantined prompt part that still reach engines.
 TEST_F(RelaySuspects, ARequestWithAPartThatIsHeldBackIsRefusedAtOnceAndOthersAreNot)
 {
   RawEngine engine([](RawConnection& aConnection) {
@@ -366,8 +372,9 @@
   EXPECT_EQ(StatusOf(Ask(Post("/stream/", "x", "Model: m\r\nPart: q\r\n"))), 200);
 }
 
-/// The first part of a whole route, held back with the cause before anybody has seen it run, would
-/// be refused for ten minutes: with nothing running, nothing clears it.
+/// Guards against refusing a whole route for ten minutes: its common prompt part may be quarantined
+/// together with the actual cause before any node has seen it complete. If all its requests are
+/// refused, no completed request can clear it, so a stream that continues to run must do so.
 TEST_F(RelaySuspects, AStreamThatRunsOnWithAPartThatIsHeldBackClearsIt)
 {
   SharedClock clock;
@@ -393,7 +400,7 @@
   clock.Advance(std::chrono::milliseconds(400));
   Suspect(6, std::chrono::minutes(10), PartKey());
   for (int i = 0; i < 20; ++i) {
-    Counters(); // each comes after what was due before
+    Counters(); // returns after the work that was due before
   }
   EXPECT_EQ(mRanWhole, 0);
   clock.Advance(std::chrono::milliseconds(700));
@@ -403,7 +410,7 @@
   ::close(socket);
 }
 
-/// A stream that has been written for longer than any that ended an engine is not the cause.
+/// A stream that has run for longer than requests which make engines exit is not the cause.
 TEST_F(RelaySuspects, AStreamThatRunsForLongIsNotCutWhenItIsHeldBack)
 {
   SharedClock clock;
@@ -428,7 +435,7 @@
   clock.Advance(seconds(2));
   Suspect(6, std::chrono::minutes(10));
   for (int i = 0; i < 20; ++i) {
-    Counters(); // each comes after what was due before
+    Counters(); // returns after the work that was due before
   }
   goOn.set_value();
   EXPECT_TRUE(Has(caller.ReadToEnd(), "data: b"));
--- a/src/pepperbay/relay/relay_until_close_test.cpp
+++ b/src/pepperbay/relay/relay_until_close_test.cpp
@@ -1,4 +1,4 @@
-/// Answers without length or chunks, which end with their connection.
+/// Answers without a length or chunks, whose end is the close of the connection.
 #include "relay_fixture.hpp"
 
 #include <array>
@@ -36,7 +36,8 @@
   EXPECT_TRUE(Has(answer, kLastChunk)) << answer;
 }
 
-/// A stream that was broken off inside an event is cut, though another engine could go on.
+/// Guards against cutting a stream that ended inside an event, although another engine could resume
+/// it.
 TEST_F(RelayUntilClose, AStreamThatEndsInsideAnEventGoesOnElsewhere)
 {
   RawEngine first([](RawConnection& aConnection) {
@@ -49,7 +50,7 @@
     aConnection.Write(OpenHead() + kEventB);
   });
   Serve({ &first, &second });
-  mPlan.mReplicas["pool"][1].mHead.mDataCentre = "far"; // the other one is chosen first
+  mPlan.mReplicas["pool"][1].mHead.mDataCentre = "far"; // makes the first engine the preferred one
   Publish();
   const std::string answer = AskStream();
   EXPECT_TRUE(Has(asked, "Last: 1")) << asked;
@@ -58,7 +59,8 @@
   EXPECT_TRUE(Has(answer, kLastChunk)) << answer;
 }
 
-/// An engine that ends inside an event is not found out: its end looks like that of an answer.
+/// Guards against missing the exit of an engine inside an event: the close of its connection looks
+/// like the end of the answer.
 TEST_F(RelayUntilClose, TheEndOfAnEngineInsideAnEventIsNoted)
 {
   std::promise<void> asked;
@@ -82,7 +84,8 @@
   EXPECT_TRUE(mEndsChanged.wait_for(lock, seconds(20), [this] { return !mEnds.empty(); }));
 }
 
-/// A reset that is taken for the end would make half an answer look whole.
+/// Guards against taking a reset for the end of the answer, so that a partial answer looks
+/// complete.
 TEST_F(RelayUntilClose, AnAnswerThatIsResetIsNotWhole)
 {
   RawEngine engine([](RawConnection& aConnection) {
@@ -107,8 +110,8 @@
   EXPECT_EQ(answer.substr(answer.find("\r\n\r\n")), "\r\n\r\n");
 }
 
-/// A caller that knows no chunks sees the end of an answer by that of its connection; an orderly
-/// end would make a broken-off stream look whole.
+/// For an HTTP/1.0 caller, which does not support chunks, the close of the connection ends the
+/// answer. Guards against an orderly close that makes a truncated stream look complete.
 TEST_F(RelayUntilClose, ACallerWithoutChunksSeesABrokenOffStreamReset)
 {
   RawEngine engine([](RawConnection& aConnection) {
