--- a/src/pepperbay/relay/connector_peers_test.cpp
+++ b/src/pepperbay/relay/connector_peers_test.cpp
@@ -13,7 +13,7 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-constexpr std::size_t kMostProxies = 8;
+constexpr std::size_t kMaxProxies = 8;
 constexpr std::size_t kEngines = 40;
 constexpr milliseconds kLateTick{ 30 }; ///< tick interval of an overloaded node
 
@@ -36,7 +36,7 @@
                               aFleet.end(),
                               [&aNode](const auto& aIt) { return aIt.mNode == aNode; }),
                aFleet.end());
-  return ChooseProxyPeers(aNode, "c0", aFleet, kMostProxies);
+  return ChooseProxyPeers(aNode, "c0", aFleet, kMaxProxies);
 }
 
 /// @return eight peers, of which the only one that opens tunnels is asked last.
@@ -44,7 +44,7 @@
 OneGoodOfEight(PeerKind aOthers, ConnectorWorld* aWorld)
 {
   ProxyPeers peers{ { "good", "", "", "far" } };
-  while (peers.size() < kMostProxies) {
+  while (peers.size() < kMaxProxies) {
     const std::string name = "p" + std::to_string(peers.size());
     peers.push_back({ name, "", "", "c0" });
     aWorld->mPeerKinds[name] = aOthers;
@@ -87,7 +87,7 @@
       *rc::gen::element(PeerKind::kFull, PeerKind::kFrozen, PeerKind::kGone, PeerKind::kCut);
   }
   aWorld->mPeerKinds[far[*rc::gen::inRange<std::size_t>(0, far.size())].mNode] =
-    *rc::gen::element(PeerKind::kCarries, PeerKind::kLate);
+    *rc::gen::element(PeerKind::kTunnels, PeerKind::kLate);
 }
 
 /// Guards against failures for longer than a second at a node whose whole data centre is cut off
@@ -137,19 +137,19 @@
 TEST(ConnectorPeers, OneThatFailedIsAskedAfterAllThatHaveNot)
 {
   ConnectorWorld world(kEngines);
-  ProxyPeers peers = OneGoodOfEight(PeerKind::kCarries, &world);
+  ProxyPeers peers = OneGoodOfEight(PeerKind::kTunnels, &world);
   peers.front().mDataCentre = "c0"; // so that it is asked in turn with the others
   world.mPeerKinds["good"] = PeerKind::kFull;
   world.SetPeers(peers);
   world.mPath = PathKind::kRefuses;
-  for (std::size_t i = 0; i < kMostProxies; ++i) {
+  for (std::size_t i = 0; i < kMaxProxies; ++i) {
     ASSERT_TRUE(world.Request(i).has_value());
   }
   for (const auto& it : peers) {
     world.mPeerKinds[it.mNode] = PeerKind::kFull;
   }
-  world.mPeerKinds["good"] = PeerKind::kCarries;
-  EXPECT_TRUE(world.Connects(0));
+  world.mPeerKinds["good"] = PeerKind::kTunnels;
+  EXPECT_TRUE(world.CanConnect(0));
 }
 
 /// Guards against asking several peers for each connection when the first one answers.
@@ -162,7 +162,7 @@
   for (std::size_t i = 0; i < kRequests; ++i) {
     EXPECT_TRUE(world.Request(i).has_value());
   }
-  EXPECT_EQ(world.mAsked, kRequests);
+  EXPECT_EQ(world.mTunnelRequests, kRequests);
 }
 
 } // namespace
--- a/src/pepperbay/relay/connector_sight_test.cpp
+++ b/src/pepperbay/relay/connector_sight_test.cpp
@@ -27,7 +27,7 @@
     world.mPausedUntil["e0"] = world.mClock.Now() + milliseconds(pause);
     world.Request(0);
     world.Run(milliseconds(300));
-    EXPECT_EQ(world.mAvoided, 0) << "a pause of " << pause << " ms";
+    EXPECT_EQ(world.mDirectPathDownEvents, 0) << "a pause of " << pause << " ms";
   }
 }
 
@@ -44,7 +44,7 @@
     world.mConnector.Connect(world.mEngines[0], [](const EngineConnection&) {});
     world.mConnector.Connect(world.mEngines[1], [](const EngineConnection&) {});
     world.Run(milliseconds(300));
-    EXPECT_EQ(world.mAvoided, 0) << "a pause of " << pause << " ms";
+    EXPECT_EQ(world.mDirectPathDownEvents, 0) << "a pause of " << pause << " ms";
   }
 }
 
@@ -60,7 +60,7 @@
       world.mPausedUntil["e" + std::to_string(other)] = world.mClock.Now() + seconds(1);
       world.Request(0);
       world.Run(milliseconds(300));
-      EXPECT_EQ(world.mAvoided, 0) << "a pause of " << pause << " ms, other " << other;
+      EXPECT_EQ(world.mDirectPathDownEvents, 0) << "a pause of " << pause << " ms, other " << other;
     }
   }
 }
@@ -90,12 +90,12 @@
   std::vector<bool> seen;
   for (int i = 0; i < 4; ++i) {
     world.mConnector.CheckReachability(
-      "e0", world.mClock.Now(), [&seen](bool aSees) { seen.push_back(aSees); });
+      "e0", world.mClock.Now(), [&seen](bool aReachable) { seen.push_back(aReachable); });
     world.Run(milliseconds(150));
   }
   EXPECT_EQ(std::count(seen.begin(), seen.end(), true), 2) << "each second look is at e2";
   EXPECT_EQ(seen.size(), 4U);
-  EXPECT_EQ(world.mAvoided, 0);
+  EXPECT_EQ(world.mDirectPathDownEvents, 0);
 }
 
 /// Guards against a false direct-path-down on a node that receives data from one engine only, while
@@ -112,7 +112,7 @@
       world.mConnector.ProbeIfDue(world.mEngines[0]);
       world.Run(milliseconds(200));
     }
-    EXPECT_EQ(world.mAvoided, 0) << "a pause of " << pause << " ms";
+    EXPECT_EQ(world.mDirectPathDownEvents, 0) << "a pause of " << pause << " ms";
   }
 }
 
@@ -123,12 +123,12 @@
     ConnectorWorld world(5);
     world.SetPeers(TwoPeers());
     world.mPath = cut;
-    std::optional<bool> sees;
+    std::optional<bool> reachable;
     world.mConnector.CheckReachability(
-      "e0", world.mClock.Now(), [&sees](bool aSees) { sees = aSees; });
+      "e0", world.mClock.Now(), [&reachable](bool aReachable) { reachable = aReachable; });
     world.Run(milliseconds(150));
-    ASSERT_TRUE(sees.has_value());
-    EXPECT_FALSE(*sees);
+    ASSERT_TRUE(reachable.has_value());
+    EXPECT_FALSE(*reachable);
   }
 }
 
--- a/src/pepperbay/relay/connector_world.hpp
+++ b/src/pepperbay/relay/connector_world.hpp
@@ -21,7 +21,7 @@
 
 enum class PeerKind
 {
-  kCarries,
+  kTunnels,
   kLate,   ///< opens tunnels, but answers slowly
   kFull,   ///< opens no tunnel at the moment
   kFrozen, ///< accepts the request and never answers
@@ -69,7 +69,7 @@
   }
 
   /// @return whether a connection to the engine was established.
-  bool Connects(std::size_t aEngine)
+  bool CanConnect(std::size_t aEngine)
   {
     std::optional<bool> stands;
     mConnector.Connect(mEngines[aEngine], [&stands](const EngineConnection& aConnection) {
@@ -89,7 +89,7 @@
     constexpr std::size_t kConnects = 3;
     const TimePoint begun = mClock.Now();
     for (std::size_t i = 0; i < kConnects; ++i) {
-      if (Connects((aFirst + i) % mEngines.size())) {
+      if (CanConnect((aFirst + i) % mEngines.size())) {
         return mClock.Now() - begun;
       }
     }
@@ -106,11 +106,11 @@
   PathKind mPath = PathKind::kOpen;              ///< from this node to all engines
   std::map<std::string, PathKind> mPathTo;       ///< exceptions for single engines
   std::map<std::string, TimePoint> mPausedUntil; ///< engines that accept no connection
-  std::map<std::string, PeerKind> mPeerKinds;    ///< default: kCarries
+  std::map<std::string, PeerKind> mPeerKinds;    ///< default: kTunnels
   std::vector<AttemptTarget> mEngines;
   Duration mTick = std::chrono::milliseconds(20); ///< default of the relay
-  int mAvoided = 0;                               ///< times that the direct path was found down
-  int mAsked = 0;                                 ///< tunnel requests to peers
+  int mDirectPathDownEvents = 0;                  ///< times that the direct path was found down
+  int mTunnelRequests = 0;                        ///< tunnel requests to peers
 
 private:
   static EngineConnectorOptions Options(const std::string& aNode)
@@ -125,7 +125,7 @@
   {
     EngineConnectorHooks hooks;
     hooks.mNow = mClock.Hook();
-    hooks.mOnDirectPathChange = [this](bool aDown) { mAvoided += aDown ? 1 : 0; };
+    hooks.mOnDirectPathChange = [this](bool aDown) { mDirectPathDownEvents += aDown ? 1 : 0; };
     hooks.mEngines = [this] { return mEngines; };
     hooks.mOnTunnelled = [] {};
     hooks.mOnProbeConnected = [](const AttemptTarget&, const EngineSocket&) {};
@@ -137,7 +137,7 @@
                             const std::string& aAddress,
                             const TunnelRequest& aRequest,
                             const TunnelOpening::Done& aDone) {
-      ++mAsked;
+      ++mTunnelRequests;
       Ask(aPeer.mNode, aAddress, aRequest, aDone);
       return [] {}; // cancelling does nothing: late answers are ignored
     };
@@ -169,12 +169,12 @@
            const TunnelOpening::Done& aDone)
   {
     const auto it = mPeerKinds.find(aPeer);
-    switch (it == mPeerKinds.end() ? PeerKind::kCarries : it->second) {
-      case PeerKind::kCarries:
-        After(kRoundTrip, [=] { Carry(aAddress, aRequest, aDone); });
+    switch (it == mPeerKinds.end() ? PeerKind::kTunnels : it->second) {
+      case PeerKind::kTunnels:
+        After(kRoundTrip, [=] { OpenTunnel(aAddress, aRequest, aDone); });
         return;
       case PeerKind::kLate:
-        After(kRoundTrip + kLate, [=] { Carry(aAddress, aRequest, aDone); });
+        After(kRoundTrip + kLate, [=] { OpenTunnel(aAddress, aRequest, aDone); });
         return;
       case PeerKind::kFull:
         After(kRoundTrip, [aDone] { aDone({ TunnelAnswer::kNotNow, false, std::nullopt }); });
@@ -190,9 +190,9 @@
     }
   }
 
-  void Carry(const std::string& aAddress,
-             const TunnelRequest& aRequest,
-             const TunnelOpening::Done& aDone)
+  void OpenTunnel(const std::string& aAddress,
+                  const TunnelRequest& aRequest,
+                  const TunnelOpening::Done& aDone)
   {
     if (Paused(aAddress)) {
       After(aRequest.mWithin, [aDone] { aDone({ TunnelAnswer::kSilent, true, std::nullopt }); });
--- a/src/pepperbay/relay/relay_attempts_test.cpp
+++ b/src/pepperbay/relay/relay_attempts_test.cpp
@@ -13,7 +13,7 @@
 using std::chrono::milliseconds;
 
 /// After this time without data, the head of a replica reported as lost counts as stalled.
-constexpr milliseconds kStandsStill{ 200 };
+constexpr milliseconds kStallTimeout{ 200 };
 
 class RelayAttempts : public RelayMoves
 {
@@ -57,15 +57,15 @@
 
   /// Waits up to 10 s for the next request to the slot allocator.
   /// @return the request; an empty message if there was none
-  proto::PlaceMessage AwaitQuestion()
+  proto::PlaceMessage AwaitSlotRequest()
   {
     const TimePoint until = BootClock::now() + seconds(10);
     while (BootClock::now() < until) {
       {
-        const std::lock_guard<std::mutex> lock(mEndsMutex);
-        while (mQuestionsSeen < mSentToDesks.size()) {
+        const std::lock_guard<std::mutex> lock(mRecordsMutex);
+        while (mMessagesRead < mSentToAllocators.size()) {
           proto::PlaceMessage message;
-          message.ParseFromString(mSentToDesks[mQuestionsSeen++]);
+          message.ParseFromString(mSentToAllocators[mMessagesRead++]);
           if (message.has_ask()) {
             return message;
           }
@@ -78,13 +78,13 @@
   }
 
   /// Sends the slot allocator's answer: a slot granted at the engine with this index.
-  void Grant(const proto::PlaceMessage& aQuestion, std::size_t aEngine)
+  void Grant(const proto::PlaceMessage& aRequest, std::size_t aEngine)
   {
     const PoolReplica& replica = mPlan.mReplicas["pool"][aEngine];
     proto::PlaceMessage message;
     message.set_node("desk");
     auto* answer = message.mutable_answer();
-    answer->set_id(aQuestion.ask().id());
+    answer->set_id(aRequest.ask().id());
     answer->set_outcome(proto::PlaceAnswer::GRANTED);
     answer->set_group(replica.mGroup);
     answer->set_epoch(replica.mEpoch);
@@ -95,11 +95,11 @@
                [this, bytes = message.SerializeAsString()] { mRelay->OnAllocatorMessage(bytes); });
   }
 
-  std::size_t mQuestionsSeen = 0;
+  std::size_t mMessagesRead = 0;
 
   void AwaitRefusal() const
   {
-    while (mRefusals == 0) {
+    while (mRefusalReports == 0) {
       std::this_thread::yield();
     }
   }
@@ -118,9 +118,9 @@
   mClock.WaitForTicks();
   FirstReplica().mLost = true;
   OfferSecond();
-  Pass(kStandsStill);
+  AdvanceInSteps(kStallTimeout);
   AwaitRefusal();
-  Pass(milliseconds(300));
+  AdvanceInSteps(milliseconds(300));
   EXPECT_EQ(requests, 1) << "asked again although the first engine may only be paused";
   first.mEnd.set_value();
   const std::string text = TextOf(std::move(answer));
@@ -142,21 +142,21 @@
   mClock.WaitForTicks();
   FirstReplica().mLost = true;
   OfferSecond();
-  Pass(kStandsStill);
+  AdvanceInSteps(kStallTimeout);
   AwaitRefusal();
-  Pass(milliseconds(300));
+  AdvanceInSteps(milliseconds(300));
   first.mEnd.set_value();
   mClock.WaitForTicks();
-  Pass(milliseconds(2000));
+  AdvanceInSteps(milliseconds(2000));
   const std::string text = TextOf(std::move(answer));
   EXPECT_EQ(requests, 2);
   EXPECT_TRUE(Has(text, "data: b")) << text;
 }
 
 /// A listener that accepts no connection because its backlog is full.
-struct DeafListener
+struct FullBacklogListener
 {
-  DeafListener()
+  FullBacklogListener()
   {
     mListener = ::socket(AF_INET, SOCK_STREAM, 0);
     sockaddr_in address{};
@@ -174,7 +174,7 @@
       mSockets.push_back(socket);
     }
   }
-  ~DeafListener()
+  ~FullBacklogListener()
   {
     for (const int it : mSockets) {
       ::close(it);
@@ -193,24 +193,24 @@
   FirstEngine first;
   std::atomic<int> requests{ 0 };
   RawEngine second(RefuseFirst(0, &requests));
-  DeafListener deaf;
+  FullBacklogListener unresponsive;
   Serve({ &first.mEngine, &second });
   const std::string address = mPlan.mReplicas["pool"][1].mHead.mAddress;
   auto answer = AskStream();
   first.mBegan.get_future().wait();
   mClock.WaitForTicks();
   FirstReplica().mLost = true;
-  mPlan.mReplicas["pool"][1].mHead.mAddress = deaf.mAddress;
+  mPlan.mReplicas["pool"][1].mHead.mAddress = unresponsive.mAddress;
   OfferSecond();
-  Pass(milliseconds(600)); // both pause
+  AdvanceInSteps(milliseconds(600)); // both pause
   EXPECT_GE(Counters().mConnectsFailed["connect: no answer"], 1U);
   FirstReplica().mLost = false;
   mPlan.mReplicas["pool"][1].mHead.mAddress = address;
   Publish();
-  Pass(milliseconds(200)); // both have recovered
+  AdvanceInSteps(milliseconds(200)); // both have recovered
   first.mEnd.set_value();
   mClock.WaitForTicks();
-  Pass(milliseconds(2000));
+  AdvanceInSteps(milliseconds(2000));
   const std::string text = TextOf(std::move(answer));
   EXPECT_EQ(requests, 1);
   EXPECT_TRUE(Has(text, "data: b")) << text;
@@ -223,7 +223,7 @@
   FirstEngine first;
   std::atomic<int> requests{ 0 };
   RawEngine fourth(RefuseFirst(0, &requests));
-  DeafListener deaf;
+  FullBacklogListener unresponsive;
   Serve({ &first.mEngine, &fourth });
   auto answer = AskStream();
   first.mBegan.get_future().wait();
@@ -231,19 +231,19 @@
   for (const char* id : { "d1", "d2", "d3" }) {
     PoolReplica replica = mPlan.mReplicas["pool"][0];
     replica.mGroup = std::string("r") + id;
-    replica.mHead = { id, deaf.mAddress, "" };
+    replica.mHead = { id, unresponsive.mAddress, "" };
     mPlan.mReplicas["pool"].push_back(replica);
   }
   FirstReplica().mLost = true;
   Publish();
-  Pass(milliseconds(1500)); // all of them pause
+  AdvanceInSteps(milliseconds(1500)); // all of them pause
   EXPECT_GE(Counters().mConnectsFailed["connect: no answer"], 3U);
   FirstReplica().mLost = false;
   OfferSecond();
-  Pass(milliseconds(200));
+  AdvanceInSteps(milliseconds(200));
   first.mEnd.set_value();
   mClock.WaitForTicks();
-  Pass(milliseconds(2000));
+  AdvanceInSteps(milliseconds(2000));
   const std::string text = TextOf(std::move(answer));
   EXPECT_EQ(requests, 1);
   EXPECT_TRUE(Has(text, "data: b")) << text;
@@ -262,9 +262,9 @@
   mClock.WaitForTicks();
   FirstReplica().mLost = true;
   OfferSecond();
-  Pass(kStandsStill);
+  AdvanceInSteps(kStallTimeout);
   AwaitRefusal();
-  Pass(seconds(1));
+  AdvanceInSteps(seconds(1));
   const std::string text = TextOf(std::move(answer));
   first.mEnd.set_value();
   EXPECT_TRUE(Has(text, "data: b")) << text;
@@ -290,9 +290,9 @@
   mClock.WaitForTicks();
   FirstReplica().mLost = true;
   OfferSecond();
-  Pass(kStandsStill);
+  AdvanceInSteps(kStallTimeout);
   asked.get_future().wait();
-  AwaitLine("attempt_failed");
+  AwaitLogLine("attempt_failed");
   FirstReplica().mLost = false;
   FirstReplica().mEpoch += 1;
   Publish();
@@ -323,13 +323,13 @@
   mClock.WaitForTicks();
   FirstReplica().mLost = true;
   OfferSecond();
-  Pass(kStandsStill);
+  AdvanceInSteps(kStallTimeout);
   AwaitRefusal();
   mPlan.mReplicas["pool"][2].mSuspended = false;
   Publish();
-  Pass(milliseconds(300));
+  AdvanceInSteps(milliseconds(300));
   first.mEnd.set_value();
-  Pass(seconds(2));
+  AdvanceInSteps(seconds(2));
   const std::string text = TextOf(std::move(answer));
   EXPECT_FALSE(Has(text, kStreamEnd)) << text;
   EXPECT_EQ(third.Requests(), 0);
@@ -349,24 +349,24 @@
   Serve({ &first.mEngine, &second, &third });
   OfferSecond();
   auto answer = AskStream();
-  Grant(AwaitQuestion(), 0);
+  Grant(AwaitSlotRequest(), 0);
   first.mBegan.get_future().wait();
   mClock.WaitForTicks();
   FirstReplica().mLost = true;
   Publish();
-  mClock.Advance(kStandsStill);
-  Grant(AwaitQuestion(), 1);
+  mClock.Advance(kStallTimeout);
+  Grant(AwaitSlotRequest(), 1);
   AwaitRefusal();
   mClock.Advance(milliseconds(300));
   mClock.WaitForTicks();
   first.mEnd.set_value();
-  const proto::PlaceMessage question = AwaitQuestion();
-  const std::set<std::uint32_t> tried(question.ask().tried().begin(), question.ask().tried().end());
+  const proto::PlaceMessage request = AwaitSlotRequest();
+  const std::set<std::uint32_t> tried(request.ask().tried().begin(), request.ask().tried().end());
   EXPECT_EQ(tried, (std::set<std::uint32_t>{ ShortId("e0"), ShortId("e2") }));
-  Grant(question, 2);
+  Grant(request, 2);
   mClock.WaitForTicks();
   mClock.Advance(milliseconds(250));
-  Grant(AwaitQuestion(), 1);
+  Grant(AwaitSlotRequest(), 1);
   const std::string text = TextOf(std::move(answer));
   EXPECT_TRUE(Has(text, "data: b")) << text;
   EXPECT_TRUE(Has(text, kStreamEnd)) << text;
@@ -398,7 +398,7 @@
   mClock.WaitForTicks();
   replicas[0].mLost = true;
   replicas[2].mSuspended = false;
-  mClock.Advance(kStandsStill);
+  mClock.Advance(kStallTimeout);
   Publish();
   mClock.WaitForTicks();
   const std::string text = TextOf(std::move(answer));
--- a/src/pepperbay/relay/relay_fixture.hpp
+++ b/src/pepperbay/relay/relay_fixture.hpp
@@ -100,23 +100,23 @@
     aOptions.mMaxSilence = seconds(20);
     mAddress = aOptions.mCallers;
     RelayHooks hooks;
-    hooks.mOnSuspect = [this](const std::string&, Duration) { ++mSuspects; };
+    hooks.mOnSuspect = [this](const std::string&, Duration) { ++mSilenceReports; };
     hooks.mOnEngineExited = [this](const RequestKey& aRequest, const EngineEnd& aEnd) {
-      const std::lock_guard<std::mutex> lock(mEndsMutex);
-      mEnds.push_back({ aRequest, aEnd });
-      mEndsChanged.notify_all();
+      const std::lock_guard<std::mutex> lock(mRecordsMutex);
+      mExits.push_back({ aRequest, aEnd });
+      mRecordsChanged.notify_all();
     };
-    hooks.mOnRefused = [this](const std::string&) { ++mRefusals; };
+    hooks.mOnRefused = [this](const std::string&) { ++mRefusalReports; };
     hooks.mLog = [this](const char* aEvent, const std::map<std::string, std::string>& aFields) {
-      const std::lock_guard<std::mutex> lock(mEndsMutex);
-      mLines.push_back({ aEvent, aFields });
-      mEndsChanged.notify_all();
+      const std::lock_guard<std::mutex> lock(mRecordsMutex);
+      mLogLines.push_back({ aEvent, aFields });
+      mRecordsChanged.notify_all();
     };
-    hooks.mOnReachability = [this](bool aReaches) { mReaches = aReaches; };
-    hooks.mOnSuspectCompleted = [this](const RequestKey&) { ++mRanWhole; };
+    hooks.mOnReachability = [this](bool aReachable) { mDirectPathUp = aReachable; };
+    hooks.mOnSuspectCompleted = [this](const RequestKey&) { ++mCompletedSuspects; };
     hooks.mSendToAllocator = [this](const std::string&, const std::string& aBytes) {
-      const std::lock_guard<std::mutex> lock(mEndsMutex);
-      mSentToDesks.push_back(aBytes);
+      const std::lock_guard<std::mutex> lock(mRecordsMutex);
+      mSentToAllocators.push_back(aBytes);
     };
     auto relay = Relay::Open(mContext, aOptions, TestDialect(), std::move(hooks));
     ASSERT_TRUE(relay.has_value()) << ToString(relay.error());
@@ -219,14 +219,14 @@
   TrafficPlan mPlan;
   bool mPublishAtOnce = true;
   /// An engine exit, and a request that was at the engine.
-  struct SeenEnd
+  struct RecordedExit
   {
     RequestKey mRequest;
     EngineEnd mEnd;
   };
 
   /// One line of the relay's log.
-  struct SeenLine
+  struct LogLine
   {
     std::string mEvent;
     std::map<std::string, std::string> mFields;
@@ -234,27 +234,27 @@
 
   /// Waits for a log line of an event.
   /// @return the fields of the first such line
-  std::map<std::string, std::string> AwaitLine(const std::string& aEvent)
+  std::map<std::string, std::string> AwaitLogLine(const std::string& aEvent)
   {
-    std::unique_lock<std::mutex> lock(mEndsMutex);
+    std::unique_lock<std::mutex> lock(mRecordsMutex);
     const auto find = [&] {
       return std::find_if(
-        mLines.begin(), mLines.end(), [&](const auto& aIt) { return aIt.mEvent == aEvent; });
+        mLogLines.begin(), mLogLines.end(), [&](const auto& aIt) { return aIt.mEvent == aEvent; });
     };
-    mEndsChanged.wait(lock, [&] { return find() != mLines.end(); });
+    mRecordsChanged.wait(lock, [&] { return find() != mLogLines.end(); });
     return find()->mFields;
   }
 
-  std::mutex mEndsMutex;
-  std::condition_variable mEndsChanged;
-  std::vector<SeenEnd> mEnds;
+  std::mutex mRecordsMutex;
+  std::condition_variable mRecordsChanged;
+  std::vector<RecordedExit> mExits;
   int mStreamAttempts = 2; ///< maximum number of engines a stream is sent to
-  std::vector<SeenLine> mLines;
-  std::vector<std::string> mSentToDesks; ///< serialized messages, in order
-  std::atomic<bool> mReaches{ true };    ///< last reported state of the direct path
-  std::atomic<int> mRanWhole{ 0 };       ///< suspect requests reported as completed
-  std::atomic<int> mRefusals{ 0 };       ///< heads reported as refusing
-  std::atomic<int> mSuspects{ 0 };       ///< heads reported as silent
+  std::vector<LogLine> mLogLines;
+  std::vector<std::string> mSentToAllocators; ///< serialized messages, in order
+  std::atomic<bool> mDirectPathUp{ true };    ///< last reported state of the direct path
+  std::atomic<int> mCompletedSuspects{ 0 };   ///< suspect requests reported as completed
+  std::atomic<int> mRefusalReports{ 0 };      ///< heads reported as refusing
+  std::atomic<int> mSilenceReports{ 0 };      ///< heads reported as silent
   std::unique_ptr<Relay> mRelay;
   std::string mAddress;
   std::thread mThread;
--- a/src/pepperbay/relay/relay_kept_test.cpp
+++ b/src/pepperbay/relay/relay_kept_test.cpp
@@ -10,10 +10,10 @@
 constexpr int kCallers = 8;
 
 /// Blocks threads until the expected number have arrived.
-class Gate
+class Barrier
 {
 public:
-  explicit Gate(int aExpected)
+  explicit Barrier(int aExpected)
     : mExpected(aExpected)
   {
   }
@@ -21,16 +21,16 @@
   void Pass()
   {
     std::unique_lock<std::mutex> lock(mMutex);
-    ++mCome;
+    ++mArrived;
     mChanged.notify_all();
-    mChanged.wait(lock, [this] { return mCome >= mExpected; });
+    mChanged.wait(lock, [this] { return mArrived >= mExpected; });
   }
 
 private:
   std::mutex mMutex;
   std::condition_variable mChanged;
   int mExpected;
-  int mCome = 0;
+  int mArrived = 0;
 };
 
 class RelayKept : public RelayTest
@@ -53,16 +53,16 @@
   /// An engine that answers the first request on each of its first `kCallers` connections, once all
   /// of these have a request, and closes each of them on its next request. Later connections serve
   /// all requests.
-  RawEngine::Script ClosesKept()
+  RawEngine::Script ClosesPooled()
   {
     return [this](RawConnection& aConnection) {
-      const bool kept = mConnections++ < kCallers;
+      const bool pooled = mConnections++ < kCallers;
       while (!aConnection.ReadRequest().empty()) {
-        if (kept) {
-          mWarm.Pass();
+        if (pooled) {
+          mAllConnected.Pass();
         }
         aConnection.Write(std::string(kHead) + "Content-Length: 2\r\n\r\nok");
-        if (kept) {
+        if (pooled) {
           aConnection.ReadRequest();
           return;
         }
@@ -70,7 +70,7 @@
     };
   }
 
-  Gate mWarm{ kCallers };
+  Barrier mAllConnected{ kCallers };
   std::atomic<int> mConnections{ 0 };
 };
 
@@ -80,7 +80,7 @@
 /// connections at once.
 TEST_F(RelayKept, RequestsAreServedThoughAllKeptConnectionsCloseAtOnce)
 {
-  RawEngine engine(ClosesKept());
+  RawEngine engine(ClosesPooled());
   Serve({ &engine });
   const auto request = [](int aCaller) { return Get("/safe/" + std::to_string(aCaller)); };
   ASSERT_EQ(AskAtOnce(request), kAllServed);
@@ -90,7 +90,7 @@
 /// As above, for equal requests.
 TEST_F(RelayKept, EqualRequestsAreServedThoughAllKeptConnectionsCloseAtOnce)
 {
-  RawEngine engine(ClosesKept());
+  RawEngine engine(ClosesPooled());
   Serve({ &engine });
   const auto request = [](int) { return Get("/safe/"); };
   ASSERT_EQ(AskAtOnce(request), kAllServed);
@@ -101,14 +101,14 @@
 /// serve the requests.
 TEST_F(RelayKept, NoConnectionIsMadeThatServesNothing)
 {
-  RawEngine engine(ClosesKept());
+  RawEngine engine(ClosesPooled());
   Serve({ &engine });
   const auto request = [](int) { return Get("/safe/"); };
   ASSERT_EQ(AskAtOnce(request), kAllServed);
   ASSERT_EQ(AskAtOnce(request), kAllServed);
   EXPECT_GE(Counters().mStaleConnections, 1U);
   EXPECT_LE(engine.Connections(), 2 * kCallers);
-  EXPECT_TRUE(mEnds.empty());
+  EXPECT_TRUE(mExits.empty());
 }
 
 /// An engine that serves one request on each connection and closes it on the next one.
@@ -236,9 +236,9 @@
   });
   std::atomic<int> connections{ 0 };
   RawEngine other([&](RawConnection& aConnection) {
-    const bool kept = connections++ == 0;
+    const bool pooled = connections++ == 0;
     aConnection.ReadRequest();
-    aConnection.Write(head + (kept ? first : "f\r\nid: 2\ndata: b\n\n\r\n") + "0\r\n\r\n");
+    aConnection.Write(head + (pooled ? first : "f\r\nid: 2\ndata: b\n\n\r\n") + "0\r\n\r\n");
     aConnection.ReadRequest(); // a second request on the pooled connection: the engine closes it
   });
   mPublishAtOnce = false;
@@ -278,9 +278,9 @@
   }
   engine.reset();
   EXPECT_GE(StatusOf(answer.get()), 500);
-  std::unique_lock<std::mutex> lock(mEndsMutex);
-  mEndsChanged.wait(lock, [this] { return !mEnds.empty(); });
-  EXPECT_EQ(mEnds.size(), 1U);
+  std::unique_lock<std::mutex> lock(mRecordsMutex);
+  mRecordsChanged.wait(lock, [this] { return !mExits.empty(); });
+  EXPECT_EQ(mExits.size(), 1U);
 }
 
 } // namespace
--- a/src/pepperbay/relay/relay_limits_test.cpp
+++ b/src/pepperbay/relay/relay_limits_test.cpp
@@ -71,7 +71,7 @@
     Serve(aEngines, options);
   }
 
-  std::string Alert() { return Ask(Post("/once/", "x", "Key: k1\r\n")); }
+  std::string SendOnce() { return Ask(Post("/once/", "x", "Key: k1\r\n")); }
 
   SharedClock mClock;
 };
@@ -87,18 +87,18 @@
   });
   ServeAndCount({ limited.get(), &free });
   while (Counters().mLimitedEngines == 0) {
-    Alert(); // a hash decides which of the two idle engines is first
+    SendOnce(); // a hash decides which of the two idle engines is first
     mClock.Advance(std::chrono::milliseconds(20));
   }
   mClock.Advance(seconds(3));
   const int before = limited->Requests();
   for (int i = 0; i < 30; ++i) {
-    EXPECT_EQ(StatusOf(Alert()), 200);
+    EXPECT_EQ(StatusOf(SendOnce()), 200);
     EXPECT_EQ(StatusOf(Ask(Get("/safe/"))), 200);
   }
   EXPECT_LE(limited->Requests() - before, 2);
   mClock.Advance(seconds(1));
-  EXPECT_EQ(StatusOf(Alert()), 200);
+  EXPECT_EQ(StatusOf(SendOnce()), 200);
 }
 
 /// Guards against requests that wait, or are sent regardless, when every engine is at its limit.
@@ -106,10 +106,10 @@
 {
   const auto limited = LimitedEngine("2");
   ServeAndCount({ limited.get() });
-  Alert();
+  SendOnce();
   std::string refused;
   for (int i = 0; i < 5 && refused.empty(); ++i) {
-    const std::string answer = Alert();
+    const std::string answer = SendOnce();
     refused = StatusOf(answer) == 503 ? answer : "";
   }
   ASSERT_FALSE(refused.empty());
@@ -119,7 +119,7 @@
   EXPECT_GT(after, 0.0);
   EXPECT_LE(after, 2.0);
   mClock.Advance(std::chrono::milliseconds(static_cast<int>(after * 1000) + 1));
-  EXPECT_EQ(StatusOf(Alert()), 200);
+  EXPECT_EQ(StatusOf(SendOnce()), 200);
 }
 
 } // namespace
--- a/src/pepperbay/relay/relay_moves_fixture.hpp
+++ b/src/pepperbay/relay/relay_moves_fixture.hpp
@@ -32,8 +32,8 @@
   {
     return [this] {
       const std::lock_guard<std::mutex> lock(mMutex);
-      ++mFaultProbes;
-      mBackoffs.notify_all();
+      ++mReads;
+      mReadsChanged.notify_all();
       return mNow;
     };
   }
@@ -47,17 +47,17 @@
   /// Waits until several ticks of the relay have passed.
   void WaitForTicks()
   {
-    constexpr std::uint64_t kLooks = 60; // a tick reads the clock about five times
+    constexpr std::uint64_t kReads = 60; // a tick reads the clock about five times
     std::unique_lock<std::mutex> lock(mMutex);
-    const std::uint64_t enough = mFaultProbes + kLooks;
-    mBackoffs.wait(lock, [&] { return mFaultProbes >= enough; });
+    const std::uint64_t enough = mReads + kReads;
+    mReadsChanged.wait(lock, [&] { return mReads >= enough; });
   }
 
 private:
   std::mutex mMutex;
-  std::condition_variable mBackoffs;
+  std::condition_variable mReadsChanged;
   TimePoint mNow = BootClock::now();
-  std::uint64_t mFaultProbes = 0;
+  std::uint64_t mReads = 0;
 };
 
 class RelayMoves : public RelayTest
@@ -92,7 +92,7 @@
   }
 
   /// Advances the clock in steps, so that the relay runs what is due in between.
-  void Pass(Duration aTime)
+  void AdvanceInSteps(Duration aTime)
   {
     constexpr std::chrono::milliseconds kStep{ 50 };
     for (Duration passed{ 0 }; passed < aTime; passed += kStep) {
--- a/src/pepperbay/relay/relay_moves_test.cpp
+++ b/src/pepperbay/relay/relay_moves_test.cpp
@@ -360,7 +360,7 @@
   mClock.WaitForTicks();
   mClock.WaitForTicks();
   EXPECT_EQ(second.Connections(), 0);
-  EXPECT_EQ(mSuspects, 0) << "a false report would disturb the streams of other nodes";
+  EXPECT_EQ(mSilenceReports, 0) << "a false report would disturb the streams of other nodes";
   read.set_value();
   const std::string text = caller.ReadToEnd();
   ::close(socket);
--- a/src/pepperbay/relay/relay_pauses_test.cpp
+++ b/src/pepperbay/relay/relay_pauses_test.cpp
@@ -9,7 +9,7 @@
 /// The longest pause after which a healthy engine resumes.
 constexpr milliseconds kPause{ 1500 };
 /// After this time without data, the head of a replica reported as lost counts as stalled.
-constexpr milliseconds kStandsStill{ 200 };
+constexpr milliseconds kStallTimeout{ 200 };
 
 class RelayPauses : public RelayMoves
 {
@@ -32,7 +32,7 @@
     }
 
     void AwaitRequest() { mAsked.get_future().wait(); }
-    void GoOn(const std::string& aAfter) { mAfter.set_value(aAfter); }
+    void Resume(const std::string& aAfter) { mAfter.set_value(aAfter); }
 
     std::string mBefore;
     std::promise<void> mAsked;
@@ -41,7 +41,7 @@
   };
 
   /// Publishes what the control thread reports when the head or a member of a replica is silent.
-  void CallFirstLost()
+  void ReportFirstLost()
   {
     FirstReplica().mLost = true;
     FirstReplica().mEpoch += 1;
@@ -59,9 +59,9 @@
   auto answer = AskStream();
   first.AwaitRequest();
   mClock.WaitForTicks();
-  CallFirstLost();
-  Pass(kPause);
-  first.GoOn(std::string(kEventB) + kStreamEnd);
+  ReportFirstLost();
+  AdvanceInSteps(kPause);
+  first.Resume(std::string(kEventB) + kStreamEnd);
   const std::string text = TextOf(std::move(answer));
   EXPECT_TRUE(Has(text, "data: a")) << text;
   EXPECT_TRUE(Has(text, "data: b")) << text;
@@ -82,10 +82,10 @@
   auto answer = AskStream();
   first.AwaitRequest();
   mClock.WaitForTicks();
-  CallFirstLost();
+  ReportFirstLost();
   OfferSecond();
-  Pass(kPause);
-  first.GoOn(StreamHead() + kEventA + kStreamEnd);
+  AdvanceInSteps(kPause);
+  first.Resume(StreamHead() + kEventA + kStreamEnd);
   const std::string text = TextOf(std::move(answer));
   EXPECT_GE(second.Requests(), 1);
   EXPECT_EQ(StatusOf(text), 200) << text;
@@ -106,10 +106,10 @@
   auto answer = AskStream();
   first.AwaitRequest();
   mClock.WaitForTicks();
-  CallFirstLost();
+  ReportFirstLost();
   OfferSecond();
-  Pass(kPause);
-  first.GoOn(std::string(kEventB) + kStreamEnd);
+  AdvanceInSteps(kPause);
+  first.Resume(std::string(kEventB) + kStreamEnd);
   const std::string text = TextOf(std::move(answer));
   EXPECT_GE(second.Requests(), 1);
   EXPECT_TRUE(Has(text, "data: b")) << text;
@@ -126,16 +126,16 @@
   auto answer = AskStream();
   first.AwaitRequest();
   mClock.WaitForTicks();
-  CallFirstLost();
+  ReportFirstLost();
   OfferSecond();
-  Pass(kStandsStill);
+  AdvanceInSteps(kStallTimeout);
   second.AwaitRequest();
   mPlan.mReplicas["pool"][1].mLost = true;
   Publish();
-  Pass(kPause);
-  second.GoOn(StreamHead() + kEventB + kStreamEnd);
+  AdvanceInSteps(kPause);
+  second.Resume(StreamHead() + kEventB + kStreamEnd);
   const std::string text = TextOf(std::move(answer));
-  first.GoOn("");
+  first.Resume("");
   EXPECT_TRUE(Has(text, "data: b")) << text;
   EXPECT_TRUE(Has(text, kStreamEnd)) << text;
 }
@@ -149,18 +149,18 @@
   auto answer = AskStream();
   first.AwaitRequest();
   mClock.WaitForTicks();
-  CallFirstLost();
+  ReportFirstLost();
   OfferSecond();
-  Pass(kStandsStill);
+  AdvanceInSteps(kStallTimeout);
   second.AwaitRequest();
   mPlan.mReplicas["pool"][1].mLost = true;
   Publish();
-  Pass(kPause - kStandsStill);
-  first.GoOn(std::string(kEventB) + kStreamEnd);
+  AdvanceInSteps(kPause - kStallTimeout);
+  first.Resume(std::string(kEventB) + kStreamEnd);
   const std::string text = TextOf(std::move(answer));
   EXPECT_TRUE(Has(text, "data: b")) << text;
   EXPECT_TRUE(Has(text, kStreamEnd)) << text;
-  second.GoOn("");
+  second.Resume("");
 }
 
 /// Guards against a short pause that ends a stream which has waited for long before. It happens if
@@ -179,19 +179,19 @@
   mClock.WaitForTicks();
   FirstReplica().mLost = true;
   OfferSecond();
-  Pass(milliseconds(100)); // first pause: the second engine refuses
+  AdvanceInSteps(milliseconds(100)); // first pause: the second engine refuses
   FirstReplica().mLost = false;
   mPlan.mReplicas["pool"][1].mSuspended = true;
   Publish();
-  Pass(milliseconds(2500)); // waits at a healthy head
+  AdvanceInSteps(milliseconds(2500)); // waits at a healthy head
   FirstReplica().mLost = true;
   Publish();
-  Pass(milliseconds(300)); // second, short pause
+  AdvanceInSteps(milliseconds(300)); // second, short pause
   const auto failed = Counters().mFailed;
   const auto cut = Counters().mCut;
   const auto refused = Counters().mRefused;
   EXPECT_EQ(failed + cut + refused, 0U) << failed << cut << refused;
-  first.GoOn(StreamHead() + kEventA + kStreamEnd);
+  first.Resume(StreamHead() + kEventA + kStreamEnd);
   const std::string text = TextOf(std::move(answer));
   EXPECT_GE(second.Requests(), 1);
   EXPECT_EQ(StatusOf(text), 200) << text;
@@ -212,15 +212,15 @@
   mClock.WaitForTicks();
   FirstReplica().mLost = true;
   OfferSecond();
-  Pass(milliseconds(300));
+  AdvanceInSteps(milliseconds(300));
   FirstReplica().mLost = false;
   mPlan.mReplicas["pool"][1].mSuspended = true;
   Publish();
-  Pass(milliseconds(2500));
+  AdvanceInSteps(milliseconds(2500));
   FirstReplica().mLost = true;
   Publish();
-  Pass(milliseconds(300));
-  first.GoOn(std::string(kEventB) + kStreamEnd);
+  AdvanceInSteps(milliseconds(300));
+  first.Resume(std::string(kEventB) + kStreamEnd);
   const std::string text = TextOf(std::move(answer));
   EXPECT_GE(second.Requests(), 1);
   EXPECT_TRUE(Has(text, "data: b")) << text;
@@ -261,9 +261,9 @@
   auto answer = AskPlain("/once/");
   first.AwaitRequest();
   mClock.WaitForTicks();
-  Pass(kPause);
+  AdvanceInSteps(kPause);
   EXPECT_EQ(Counters().mFailed, 0U);
-  first.GoOn(begun ? GetParam().mAfter : Begun(GetParam().mAfter));
+  first.Resume(begun ? GetParam().mAfter : Begun(GetParam().mAfter));
   const std::string text = TextOf(std::move(answer));
   EXPECT_EQ(StatusOf(text), 200) << text;
   EXPECT_TRUE(Has(text, "okok")) << text;
@@ -290,8 +290,8 @@
   mClock.WaitForTicks();
   OfferSecond();
   mClock.Advance(seconds(12)); // past the fraction of the objective after which requests are hedged
-  Pass(kPause);
-  first.GoOn(std::string(kHead) + "Content-Length: 2\r\n\r\nok");
+  AdvanceInSteps(kPause);
+  first.Resume(std::string(kHead) + "Content-Length: 2\r\n\r\nok");
   EXPECT_EQ(StatusOf(TextOf(std::move(answer))), 200);
   EXPECT_EQ(second.Requests(), 1);
 }
--- a/src/pepperbay/relay/relay_reach_fixture.hpp
+++ b/src/pepperbay/relay/relay_reach_fixture.hpp
@@ -72,7 +72,7 @@
   }
 
   /// Stops it gracefully, as a signal does. Returns once it has stopped.
-  void StopInOrder()
+  void StopGracefully()
   {
     std::promise<void> stopped;
     asio::post(mContext, [&] { mRelay->BeginStop([&] { stopped.set_value(); }); });
@@ -80,14 +80,14 @@
   }
 
   /// @return whether it still accepts callers.
-  bool TakesCallers() const
+  bool AcceptsCallers() const
   {
     const int socket = ConnectTo(mOptions.mCallers);
     ::close(socket);
     return socket >= 0;
   }
 
-  TunnelCounters Carried()
+  TunnelCounters TunnelStats()
   {
     std::promise<TunnelCounters> promise;
     asio::post(mContext, [&] { promise.set_value(mRelay->Counters().mTunnels); });
--- a/src/pepperbay/relay/relay_reach_test.cpp
+++ b/src/pepperbay/relay/relay_reach_test.cpp
@@ -26,9 +26,9 @@
   ServeBehindPaths();
   Cut(PathState::kSilent);
   EXPECT_EQ(Served(4), 12);
-  EXPECT_FALSE(mReaches);
+  EXPECT_FALSE(mDirectPathUp);
   Cut(PathState::kOpen);
-  while (!mReaches) {
+  while (!mDirectPathUp) {
     std::this_thread::yield();
   }
   EXPECT_EQ(Served(2), 6);
@@ -61,8 +61,8 @@
   mPaths.back()->Set(PathState::kReset); // as when its process exits
   ends.set_value();
   EXPECT_EQ(answer.get(), 502);
-  std::unique_lock<std::mutex> lock(mEndsMutex);
-  mEndsChanged.wait(lock, [this] { return !mEnds.empty(); });
+  std::unique_lock<std::mutex> lock(mRecordsMutex);
+  mRecordsChanged.wait(lock, [this] { return !mExits.empty(); });
   lock.unlock();
   EXPECT_EQ(Counters().mTunnelledByPeers, 0U);
 }
@@ -86,8 +86,8 @@
   EXPECT_EQ(Served(3), 9);
   ends.set_value();
   EXPECT_EQ(Counters().mEnginesExited, 0U);
-  EXPECT_EQ(mRefusals, 0);
-  EXPECT_TRUE(mEnds.empty());
+  EXPECT_EQ(mRefusalReports, 0);
+  EXPECT_TRUE(mExits.empty());
 }
 
 /// Guards against plain services' engines that receive no requests from any node because several
@@ -120,11 +120,11 @@
   Publish();
   /// @return the number of failing engines listed in the next slot request. It may take several
   /// requests, since an allocator that has not answered is skipped for a while.
-  const auto told = [this] {
+  const auto reportedFailing = [this] {
     for (;;) {
       EXPECT_EQ(StatusOf(Ask(Get("/stream/x", "Model: m\r\n"))), 200);
-      const std::lock_guard<std::mutex> lock(mEndsMutex);
-      for (const auto& it : std::exchange(mSentToDesks, {})) {
+      const std::lock_guard<std::mutex> lock(mRecordsMutex);
+      for (const auto& it : std::exchange(mSentToAllocators, {})) {
         proto::PlaceMessage message;
         EXPECT_TRUE(message.ParseFromString(it));
         if (message.has_ask()) {
@@ -134,16 +134,16 @@
     }
   };
   CutWhileThreeRun(begun);
-  told(); // the engines have been probed by the time of the next slot request
-  EXPECT_EQ(told(), 0);
+  reportedFailing(); // the engines have been probed by the time of the next slot request
+  EXPECT_EQ(reportedFailing(), 0);
   ends.set_value();
   Cut(PathState::kOpen);
-  while (!mReaches) {
+  while (!mDirectPathUp) {
     std::this_thread::yield();
   }
   resets = true;
   EXPECT_EQ(AskOnce(), 502);
-  while (told() == 0) {
+  while (reportedFailing() == 0) {
   }
 }
 
@@ -176,7 +176,7 @@
   EXPECT_TRUE(caller.ReadUntil("0\r\n\r\n"));
   ::close(socket);
   ends.set_value();
-  EXPECT_GE(mPeer.Carried().mAnswers["open"], 1U);
+  EXPECT_GE(mPeer.TunnelStats().mAnswers["open"], 1U);
 }
 
 /// Guards against moving a stream whose established connection still works while new connections
@@ -284,7 +284,7 @@
   EXPECT_TRUE(Has(answer, "\"ran\":\"no\""));
   EXPECT_TRUE(Has(answer, "Retry-After: "));
   EXPECT_EQ(Requests(), 0);
-  EXPECT_EQ(mPeer.Carried().mAnswers["open"], 0U) << "no second hop";
+  EXPECT_EQ(mPeer.TunnelStats().mAnswers["open"], 0U) << "no second hop";
   EXPECT_EQ(Counters().mEnginesExited, 0U);
 }
 
@@ -295,9 +295,9 @@
   Cut(PathState::kReset);
   EXPECT_EQ(Served(4), 12);
   EXPECT_GT(Counters().mTunnelledByPeers, 0U);
-  EXPECT_FALSE(mReaches);
+  EXPECT_FALSE(mDirectPathUp);
   Cut(PathState::kOpen);
-  while (!mReaches) {
+  while (!mDirectPathUp) {
     std::this_thread::yield();
   }
   const std::uint64_t carried = Counters().mTunnelledByPeers;
@@ -322,8 +322,8 @@
   Cut(PathState::kReset);
   auto answer = std::async(std::launch::async, [this] { return AskOnce(); });
   begun.get_future().wait();
-  auto stopped = std::async(std::launch::async, [this] { mPeer.StopInOrder(); });
-  while (mPeer.TakesCallers()) {
+  auto stopped = std::async(std::launch::async, [this] { mPeer.StopGracefully(); });
+  while (mPeer.AcceptsCallers()) {
     std::this_thread::yield();
   }
   // Only the tunnelled connection still keeps it from stopping.
--- a/src/pepperbay/relay/relay_retries_test.cpp
+++ b/src/pepperbay/relay/relay_retries_test.cpp
@@ -7,7 +7,7 @@
 class RelayRetries : public RelayTest
 {
 protected:
-  void BreaksOff(RawConnection& aConnection)
+  void ClosesUnanswered(RawConnection& aConnection)
   {
     ++mRead;
     aConnection.ReadRequest();
@@ -20,12 +20,12 @@
   }
 
   /// Waits for the request to the retry budget owner and returns it.
-  proto::PlaceMessage Question()
+  proto::PlaceMessage AwaitRetryRequest()
   {
     for (;;) {
       {
-        const std::lock_guard<std::mutex> lock(mEndsMutex);
-        for (const auto& it : mSentToDesks) {
+        const std::lock_guard<std::mutex> lock(mRecordsMutex);
+        for (const auto& it : mSentToAllocators) {
           proto::PlaceMessage message;
           if (message.ParseFromString(it) && message.has_retry_ask()) {
             return message;
@@ -36,12 +36,12 @@
     }
   }
 
-  void Answer(const proto::PlaceMessage& aQuestion, bool aGranted)
+  void Answer(const proto::PlaceMessage& aRequest, bool aGranted)
   {
     proto::PlaceMessage message;
     auto* answer = message.mutable_retry_answer();
-    answer->set_id(aQuestion.retry_ask().id());
-    answer->set_incarnation(aQuestion.incarnation());
+    answer->set_id(aRequest.retry_ask().id());
+    answer->set_incarnation(aRequest.incarnation());
     answer->set_granted(aGranted);
     asio::post(mContext,
                [this, bytes = message.SerializeAsString()] { mRelay->OnAllocatorMessage(bytes); });
@@ -54,7 +54,7 @@
 /// of a node would never allow one.
 TEST_F(RelayRetries, ARequestHasASecondAttemptHoweverManyNodesThereAre)
 {
-  RawEngine first([this](RawConnection& aConnection) { BreaksOff(aConnection); });
+  RawEngine first([this](RawConnection& aConnection) { ClosesUnanswered(aConnection); });
   RawEngine second(Serves);
   mPlan.mNodes = 295;
   mPlan.mListedNodes = 295;
@@ -67,8 +67,8 @@
 TEST_F(RelayRetries, TheKeeperIsAskedAndItsWordCounts)
 {
   for (const bool granted : { true, false }) {
-    mSentToDesks.clear();
-    RawEngine first([this](RawConnection& aConnection) { BreaksOff(aConnection); });
+    mSentToAllocators.clear();
+    RawEngine first([this](RawConnection& aConnection) { ClosesUnanswered(aConnection); });
     RawEngine second([this](RawConnection& aConnection) {
       aConnection.ReadRequest();
       if (mRead > 0) {
@@ -83,7 +83,7 @@
     mRead = 0;
     Serve({ &first, &second });
     auto answer = std::async(std::launch::async, [this] { return Ask(Get("/safe/")); });
-    Answer(Question(), granted);
+    Answer(AwaitRetryRequest(), granted);
     const std::string text = answer.get();
     EXPECT_EQ(StatusOf(text), granted ? 200 : 502) << text;
     EXPECT_EQ(first.Requests() + second.Requests(), granted ? 2 : 1);
@@ -96,7 +96,7 @@
 class RelayAwaited : public RelayRetries
 {
 protected:
-  void BreakOff()
+  void InterruptStream()
   {
     RelayOptions options;
     options.mNow = mClock.Hook();
@@ -147,7 +147,7 @@
 /// callers would wait.
 TEST_F(RelayAwaited, AStreamGoesOnOnceThereIsASecondAttempt)
 {
-  BreakOff();
+  InterruptStream();
   RelayTuning tuning;
   asio::post(mContext, [this, tuning] { mRelay->Tune(tuning); });
   mClock.Advance(std::chrono::milliseconds(200));
@@ -159,7 +159,7 @@
 /// available.
 TEST_F(RelayAwaited, AStreamThatFindsNoSecondAttemptIsCutInTimeToComeBack)
 {
-  BreakOff();
+  InterruptStream();
   EXPECT_EQ(Counters().mCut, 0U);
   mClock.Advance(seconds(1));
   EXPECT_FALSE(mCaller->ReadUntil("data: b\n\n"));
--- a/src/pepperbay/relay/relay_rush_test.cpp
+++ b/src/pepperbay/relay/relay_rush_test.cpp
@@ -17,18 +17,18 @@
   options.mGate.mMostOpen = 1;
   Serve({ &engine }, options);
   const int first = Connect();
-  RawConnection kept(first);
-  kept.Write("GET /safe/ HTTP/1.1\r\nHost: h\r\nReq: q1\r\n\r\n");
-  EXPECT_EQ(StatusOf(kept.ReadAnswer()), 200);
+  RawConnection persistent(first);
+  persistent.Write("GET /safe/ HTTP/1.1\r\nHost: h\r\nReq: q1\r\n\r\n");
+  EXPECT_EQ(StatusOf(persistent.ReadAnswer()), 200);
   EXPECT_EQ(Ask(Get("/safe/")), "");
   const RelayCounters counters = Counters();
   EXPECT_EQ(counters.mClosedUnread, 1U);
   EXPECT_EQ(counters.mRequests, 1U);
-  EXPECT_EQ(AwaitLine("closed_unread")["connections"], "1");
+  EXPECT_EQ(AwaitLogLine("closed_unread")["connections"], "1");
   // An accepted connection is still served.
-  kept.Write(Get("/safe/"));
-  EXPECT_EQ(StatusOf(kept.ReadAnswer()), 200);
-  EXPECT_EQ(kept.ReadToEnd(), "");
+  persistent.Write(Get("/safe/"));
+  EXPECT_EQ(StatusOf(persistent.ReadAnswer()), 200);
+  EXPECT_EQ(persistent.ReadToEnd(), "");
   ::close(first);
   constexpr int kTries = 1000; // until the relay has seen the close
   int status = 0;
--- a/src/pepperbay/relay/relay_sight_test.cpp
+++ b/src/pepperbay/relay/relay_sight_test.cpp
@@ -127,13 +127,13 @@
   Cut(PathState::kRefuses);
   breaks.set_value();
   EXPECT_EQ(answer.get(), 502) << "whether it ran is unknown";
-  while (cut.Carried().mAnswers["refused"] == 0) {
+  while (cut.TunnelStats().mAnswers["refused"] == 0) {
     std::this_thread::yield(); // waits until the peer was asked for the engine that reset the
                                // request
   }
   EXPECT_EQ(AskOnce(), 503) << "the engine refuses this node as well, after the peer's answer";
   EXPECT_EQ(Counters().mEnginesExited, 0U);
-  EXPECT_TRUE(mEnds.empty());
+  EXPECT_TRUE(mExits.empty());
 }
 
 /// Guards against reporting an engine as lost because of a peer that is cut off itself, but still
--- a/src/pepperbay/relay/relay_stop_test.cpp
+++ b/src/pepperbay/relay/relay_stop_test.cpp
@@ -33,7 +33,7 @@
     asked.get_future().wait();
   }
 
-  static std::string KeptGet(const std::string& aPath)
+  static std::string KeepAliveGet(const std::string& aPath)
   {
     return "GET " + aPath + " HTTP/1.1\r\nHost: h\r\nReq: q1\r\n\r\n";
   }
@@ -54,12 +54,12 @@
   ServeAndBegin();
   const int idle = Connect();
   RawConnection idleSide(idle);
-  idleSide.Write(KeptGet("/nowhere/"));
+  idleSide.Write(KeepAliveGet("/nowhere/"));
   EXPECT_TRUE(Has(idleSide.ReadAnswer(), " 404 "));
   const int half = Connect();
   RawConnection halfSide(half);
-  const std::string next = KeptGet("/safe/");
-  halfSide.Write(KeptGet("/nowhere/") + next.substr(0, next.size() - 2));
+  const std::string next = KeepAliveGet("/safe/");
+  halfSide.Write(KeepAliveGet("/nowhere/") + next.substr(0, next.size() - 2));
   EXPECT_TRUE(Has(halfSide.ReadAnswer(), " 404 "));
   BeginStop();
   EXPECT_EQ(StatusOf(Ask(Get("/nowhere/"))), 404); // the load balancer may still send requests
@@ -112,7 +112,7 @@
   const int socket = Connect();
   RawConnection(socket).Write("GET /safe/ HTTP/1.1\r\nHost");
   ::close(socket);
-  const auto fields = AwaitLine("connection_closed");
+  const auto fields = AwaitLogLine("connection_closed");
   EXPECT_EQ(fields.at("phase"), "reading");
   EXPECT_FALSE(fields.at("reason").empty());
 }
--- a/src/pepperbay/relay/relay_suspects_test.cpp
+++ b/src/pepperbay/relay/relay_suspects_test.cpp
@@ -40,19 +40,19 @@
     Publish();
   }
 
-  std::vector<SeenEnd> WaitForEnds(std::size_t aCount)
+  std::vector<RecordedExit> WaitForExits(std::size_t aCount)
   {
-    std::unique_lock<std::mutex> lock(mEndsMutex);
-    mEndsChanged.wait_for(lock, seconds(20), [&] { return mEnds.size() >= aCount; });
-    return mEnds;
+    std::unique_lock<std::mutex> lock(mRecordsMutex);
+    mRecordsChanged.wait_for(lock, seconds(20), [&] { return mExits.size() >= aCount; });
+    return mExits;
   }
 
   /// An engine that reads requests, can begin to answer them, and then exits with its listener.
-  struct MortalEngine
+  struct ExitingEngine
   {
     /// @param aAnswers sends the header of a stream before it exits
     /// @param aRuns if not null, the engine completes its answers while this is true
-    explicit MortalEngine(bool aAnswers, const std::atomic<bool>* aRuns = nullptr)
+    explicit ExitingEngine(bool aAnswers, const std::atomic<bool>* aRuns = nullptr)
       : mEngine(std::make_unique<RawEngine>([this, aAnswers, aRuns](RawConnection& aConnection) {
         aConnection.ReadRequest();
         if (aRuns != nullptr && *aRuns) {
@@ -64,7 +64,7 @@
         }
         {
           const std::lock_guard<std::mutex> lock(mMutex);
-          ++mGot;
+          ++mReceived;
           mAsked.notify_all();
         }
         aConnection.ReadToEnd();
@@ -75,10 +75,10 @@
     void WaitUntilAsked(int aRequests = 1)
     {
       std::unique_lock<std::mutex> lock(mMutex);
-      mAsked.wait(lock, [&] { return mGot >= aRequests; });
+      mAsked.wait(lock, [&] { return mReceived >= aRequests; });
     }
 
-    void EndOnceAsked(int aRequests = 1)
+    void ExitOnceAsked(int aRequests = 1)
     {
       WaitUntilAsked(aRequests);
       mEngine.reset();
@@ -86,7 +86,7 @@
 
     std::mutex mMutex;
     std::condition_variable mAsked;
-    int mGot = 0; ///< requests that it has received and not completed
+    int mReceived = 0; ///< requests that it has received and not completed
     std::unique_ptr<RawEngine> mEngine;
   };
 };
@@ -94,12 +94,12 @@
 /// An engine that exits no longer listens, unlike one that only closes a connection.
 TEST_F(RelaySuspects, ARequestIsSuspectedOfTheEndOfAnEngineThatHadJustBegunIt)
 {
-  MortalEngine mortal(true);
-  Serve({ mortal.mEngine.get() });
+  ExitingEngine exiting(true);
+  Serve({ exiting.mEngine.get() });
   auto answer = std::async(std::launch::async, [this] { return AskStream(); });
-  mortal.EndOnceAsked();
+  exiting.ExitOnceAsked();
   EXPECT_EQ(StatusOf(answer.get()), 502);
-  const auto ends = WaitForEnds(1);
+  const auto ends = WaitForExits(1);
   ASSERT_EQ(ends.size(), 1U);
   EXPECT_EQ(ends[0].mRequest, StreamKey());
   EXPECT_EQ(ends[0].mEnd.mSuspicion, Suspicion::kBegun);
@@ -110,13 +110,13 @@
 /// would stay in the plan until the registration expires, and all requests sent there would fail.
 TEST_F(RelaySuspects, TheHolderHearsOfAHeadThatHasEndedWithItsStreams)
 {
-  MortalEngine mortal(true);
-  Serve({ mortal.mEngine.get() });
+  ExitingEngine exiting(true);
+  Serve({ exiting.mEngine.get() });
   auto answer = std::async(std::launch::async, [this] { return AskStream(); });
-  mortal.EndOnceAsked();
+  exiting.ExitOnceAsked();
   answer.get();
-  WaitForEnds(1);
-  EXPECT_GE(mRefusals, 1);
+  WaitForExits(1);
+  EXPECT_GE(mRefusalReports, 1);
 }
 
 TEST_F(RelaySuspects, TheHolderHearsOfAHeadThatRefusesConnectionsAndNotWithEachRequest)
@@ -131,21 +131,22 @@
   for (int i = 0; i < 20; ++i) {
     EXPECT_EQ(StatusOf(AskStream()), 503);
   }
-  EXPECT_EQ(mRefusals, 1);
+  EXPECT_EQ(mRefusalReports, 1);
   clock.Advance(seconds(1));
   EXPECT_EQ(StatusOf(AskStream()), 503);
-  EXPECT_EQ(mRefusals, 2); // repeated because a new holder may not have received the first report
+  EXPECT_EQ(mRefusalReports,
+            2); // repeated because a new holder may not have received the first report
 }
 
 /// A request that only waited at an engine that exits is probably not the cause.
 TEST_F(RelaySuspects, ARequestThatWaitedAtAnEngineThatEndsIsSuspectedLess)
 {
-  MortalEngine mortal(false);
-  Serve({ mortal.mEngine.get() });
+  ExitingEngine exiting(false);
+  Serve({ exiting.mEngine.get() });
   auto answer = std::async(std::launch::async, [this] { return AskStream(); });
-  mortal.EndOnceAsked();
+  exiting.ExitOnceAsked();
   answer.get();
-  const auto ends = WaitForEnds(1);
+  const auto ends = WaitForExits(1);
   ASSERT_EQ(ends.size(), 1U);
   EXPECT_EQ(ends[0].mEnd.mSuspicion, Suspicion::kPresent);
 }
@@ -153,13 +154,13 @@
 /// A plain engine answers only when it is done, so a request without an answer may be the cause.
 TEST_F(RelaySuspects, ARequestWithoutAnAnswerAtAPlainEngineThatEndsIsSuspected)
 {
-  MortalEngine mortal(false);
-  Serve({ mortal.mEngine.get() });
+  ExitingEngine exiting(false);
+  Serve({ exiting.mEngine.get() });
   auto answer =
     std::async(std::launch::async, [this] { return Ask(Post("/once/", "x", "Key: k1\r\n")); });
-  mortal.EndOnceAsked();
+  exiting.ExitOnceAsked();
   EXPECT_EQ(StatusOf(answer.get()), 502);
-  const auto ends = WaitForEnds(1);
+  const auto ends = WaitForExits(1);
   ASSERT_EQ(ends.size(), 1U);
   EXPECT_EQ(ends[0].mRequest, KeyOfRequest("school", "h", "/once/", "x"));
   EXPECT_EQ(ends[0].mEnd.mSuspicion, Suspicion::kBegun);
@@ -182,7 +183,7 @@
   }
   ASSERT_GT(engine.Connections(), engine.Requests()) << "it is connected to once more";
   EXPECT_EQ(StatusOf(AskStream()), 502); // after this answer the relay has handled that connection
-  EXPECT_TRUE(WaitForEnds(0).empty());
+  EXPECT_TRUE(WaitForExits(0).empty());
   EXPECT_EQ(Counters().mEnginesExited, 0U);
 }
 
@@ -216,7 +217,7 @@
   Serve({ &engine });
   Suspect(4, -seconds(1));
   EXPECT_EQ(StatusOf(AskStream()), 200);
-  EXPECT_EQ(mRanWhole, 1); // reported, which clears it on all nodes
+  EXPECT_EQ(mCompletedSuspects, 1); // reported, which clears it on all nodes
 }
 
 /// Guards against refusing a request that many callers send constantly, so that it is present at
@@ -224,17 +225,17 @@
 TEST_F(RelaySuspects, ARequestThatHasJustRunToItsEndIsNotSuspected)
 {
   std::atomic<bool> runs{ true };
-  MortalEngine mortal(true, &runs);
-  Serve({ mortal.mEngine.get() });
+  ExitingEngine exiting(true, &runs);
+  Serve({ exiting.mEngine.get() });
   EXPECT_EQ(StatusOf(AskStream()), 200);
   runs = false;
   auto answer = std::async(std::launch::async, [this] { return AskStream(); });
   auto other =
     std::async(std::launch::async, [this] { return Ask(Post("/stream/", "y", "Model: m\r\n")); });
-  mortal.EndOnceAsked(2);
+  exiting.ExitOnceAsked(2);
   answer.get();
   other.get();
-  const auto ends = WaitForEnds(1);
+  const auto ends = WaitForExits(1);
   ASSERT_EQ(ends.size(), 1U);
   EXPECT_EQ(ends[0].mRequest, KeyOfRequest("", "h", "/stream/", "y"));
 }
@@ -249,16 +250,16 @@
   });
   Serve({ &engine });
   EXPECT_EQ(StatusOf(AskStream()), 200);
-  EXPECT_EQ(mRanWhole, 0);
+  EXPECT_EQ(mCompletedSuspects, 0);
   Suspect(4, seconds(2));
   Counters(); // the plan is in force
-  EXPECT_EQ(mRanWhole, 1);
+  EXPECT_EQ(mCompletedSuspects, 1);
 }
 
 /// Guards against a suspect request that makes a second engine exit as well.
 TEST_F(RelaySuspects, ASuspectRequestIsNotSentToASecondEngineWhenItsFirstBreaksOff)
 {
-  MortalEngine first(true);
+  ExitingEngine first(true);
   RawEngine second([](RawConnection& aConnection) {
     aConnection.ReadRequest();
     aConnection.Write(StreamHead() + kEvent + kStreamEnd);
@@ -302,17 +303,17 @@
 /// exit.
 TEST_F(RelaySuspects, APartOfAPromptIsSuspectedWithItsRequest)
 {
-  MortalEngine mortal(true);
-  Serve({ mortal.mEngine.get() });
+  ExitingEngine exiting(true);
+  Serve({ exiting.mEngine.get() });
   auto answer = std::async(std::launch::async, [this] { return AskWithPart("x"); });
-  mortal.EndOnceAsked();
+  exiting.ExitOnceAsked();
   answer.get();
-  const auto ends = WaitForEnds(2);
+  const auto ends = WaitForExits(2);
   ASSERT_EQ(ends.size(), 2U);
   EXPECT_EQ(ends[0].mRequest, StreamKey());
   EXPECT_EQ(ends[1].mRequest, PartKey());
   EXPECT_EQ(ends[1].mEnd.mSuspicion, Suspicion::kBegun);
-  EXPECT_EQ(AwaitLine("engine_ended")["parts"], "p");
+  EXPECT_EQ(AwaitLogLine("engine_ended")["parts"], "p");
 }
 
 /// Guards against refusing a whole route: most of its requests share one prompt part, which would
@@ -320,14 +321,14 @@
 TEST_F(RelaySuspects, APartThatHasJustRunToItsEndIsNotSuspected)
 {
   std::atomic<bool> runs{ true };
-  MortalEngine mortal(true, &runs);
-  Serve({ mortal.mEngine.get() });
+  ExitingEngine exiting(true, &runs);
+  Serve({ exiting.mEngine.get() });
   EXPECT_EQ(StatusOf(AskWithPart("y")), 200);
   runs = false;
   auto answer = std::async(std::launch::async, [this] { return AskWithPart("x"); });
-  mortal.EndOnceAsked();
+  exiting.ExitOnceAsked();
   answer.get();
-  const auto ends = WaitForEnds(1);
+  const auto ends = WaitForExits(1);
   ASSERT_EQ(ends.size(), 1U);
   EXPECT_EQ(ends[0].mRequest, StreamKey());
 }
@@ -348,9 +349,9 @@
   Serve({ &engine });
   Suspect(2, -seconds(1), PartKey());
   EXPECT_TRUE(Has(AskWithPart("x"), "data: a"));
-  EXPECT_EQ(mRanWhole, 0);
+  EXPECT_EQ(mCompletedSuspects, 0);
   EXPECT_TRUE(Has(AskWithPart("y"), "data: a"));
-  EXPECT_EQ(mRanWhole, 1);
+  EXPECT_EQ(mCompletedSuspects, 1);
 }
 
 /// Guards against new requests with a quarantined prompt part that still reach engines.
@@ -402,11 +403,11 @@
   for (int i = 0; i < 20; ++i) {
     Counters(); // returns after the work that was due before
   }
-  EXPECT_EQ(mRanWhole, 0);
+  EXPECT_EQ(mCompletedSuspects, 0);
   clock.Advance(std::chrono::milliseconds(700));
   goOn.set_value();
   ASSERT_TRUE(caller.ReadUntil("data: b"));
-  EXPECT_EQ(mRanWhole, 1);
+  EXPECT_EQ(mCompletedSuspects, 1);
   ::close(socket);
 }
 
--- a/src/pepperbay/relay/relay_until_close_test.cpp
+++ b/src/pepperbay/relay/relay_until_close_test.cpp
@@ -80,8 +80,8 @@
   ends.set_value();
   ending.join();
   EXPECT_FALSE(Has(answer.get(), kLastChunk));
-  std::unique_lock<std::mutex> lock(mEndsMutex);
-  EXPECT_TRUE(mEndsChanged.wait_for(lock, seconds(20), [this] { return !mEnds.empty(); }));
+  std::unique_lock<std::mutex> lock(mRecordsMutex);
+  EXPECT_TRUE(mRecordsChanged.wait_for(lock, seconds(20), [this] { return !mExits.empty(); }));
 }
 
 /// Guards against taking a reset for the end of the answer, so that a partial answer looks
