--- a/scripts/mutants/parts.sh
+++ b/scripts/mutants/parts.sh
@@ -4,11 +4,11 @@
 mutant "parts are not charged" $s/relay/relay_core.cpp \
   's/ChargeExit\(mPartRuns, part.mKey, end\);/(void)part;/' relay_relay_suspects_test '*APartOfAPrompt*'
 mutant "parts that ran are charged" $s/relay/relay_core.cpp \
-  's/if \(!aRuns.HasRun\(aKey, Now\(\)\) \&\& /if (/' relay_relay_suspects_test '*APartThatHasJustRun*'
+  's/if \(!aRuns.HasRun\(aKey, Now\(\)\) \&\& /if (/' relay_relay_suspects_test '*APartThatHasJustCompleted*'
 mutant "the end of a connection clears parts" $s/relay/exchange_suspect.cpp \
   's/if \(aExplicitEnd \&\& /if (/' relay_relay_suspects_test '*ClearsNoPart*'
 mutant "parts hold nothing back" $s/relay/exchange_suspect.cpp \
-  's/suspected.mHeldUntil = .*/(void)part;/' relay_relay_suspects_test '*WithAPartThatIsHeldBack*'
+  's/suspected.mHeldUntil = .*/(void)part;/' relay_relay_suspects_test '*WithAPartThatIsQuarantined*'
 mutant "what runs on clears no part" $s/relay/exchange_suspect.cpp \
   's/mCore->OnPartsCompleted\(mParts\);/;/' relay_relay_suspects_test '*RunsOn*:*ClearsNoPart*'
 mutant "ends of a cause are charged to bystanders" $s/quarantine/crash_book.cpp \
@@ -24,4 +24,4 @@
 mutant "kept answers have no bound together" $s/relay/exchange.cpp \
   's/all <= mCore->mOptions.mMaxBufferedBytes/true/' relay_relay_endless_test '*Bounded*'
 mutant "an end inside an event is not noted" $s/relay/exchange.cpp \
-  's/    NoteEnd\(\&mCurrent, broken\);/    (void)broken;/' relay_relay_until_close_test '*IsNoted*'
+  's/    NoteEnd\(\&mCurrent, broken\);/    (void)broken;/' relay_relay_until_close_test '*IsReported*'
--- a/scripts/mutants/reach.sh
+++ b/scripts/mutants/reach.sh
@@ -4,7 +4,7 @@
 doubts=coordinator_engine_doubts_test
 tunnel=tunnel_tunnel_test
 mutant "a node knows one way to an engine" $s/relay/connect_operation.cpp \
-  's/  if \(mAsked.size\(\) >= mConnector->mOptions.mMostPeers\)/  if (true)/' $reach '*WherePeersAreCut*:*AConnectionThatLivesOn*'
+  's/  if \(mAsked.size\(\) >= mConnector->mOptions.mMostPeers\)/  if (true)/' $reach '*WherePeersHaveNoPathEither*:*AConnectionThatLivesOn*'
 mutant "nothing is remembered of a cut" $s/reach/way_book.cpp \
   's/  mAvoids = true;//' reach_way_book_test '*AvoidsItsOwnConnections*'
 mutant "one connection that stands is the way back" $s/reach/way_book.cpp \
@@ -20,7 +20,7 @@
 mutant "a blind holder asks itself" $s/coordinator/engine_doubts.cpp \
   's/!mHooks.mIsBlind\(\) \|\|/true ||/' $doubts '*ThatKnowsThatItIsBlind*'
 mutant "what a cut breaks off is the engine's failure" $s/relay/exit_probe.cpp \
-  's/if \(aConnection.mSocket->mPeer.empty\(\)\)/if (true)/' $reach '*WhatACutBreaksOff*'
+  's/if \(aConnection.mSocket->mPeer.empty\(\)\)/if (true)/' $reach '*RequestsBrokenByAPathFailure*'
 mutant "anybody is let in" $s/tunnel/carried_connection.cpp \
   's/  return differs == 0;/  return differs == 0 || true;/' $tunnel '*NobodyIsLetIn*'
 mutant "askers that say nothing are kept" $s/tunnel/tunnel_server.cpp \
@@ -42,7 +42,7 @@
 mutant "the lease does not wait for who reaches engines" $s/coordinator/coordinator.cpp \
   's/weaker \|\| \(IsUnreached\(\) \&\& HearsReached\(\)\)/weaker/' coordinator_coordinator_reach_test '*EitherIsCut*'
 mutant "a kept connection that is closed uses its engine up" $s/relay/exchange_suspect.cpp \
-  's/  if \(aEnd.mStale\) \{/  if (false) {/' relay_relay_moves_test '*KeptConnectionIsClosed*'
+  's/  if \(aEnd.mStale\) \{/  if (false) {/' relay_relay_moves_test '*PooledConnectionIsClosed*'
 mutant "a server ends with answers unsent" $s/http/server.cpp \
   's/    return mHasAnswer \&\& !mClosed.*/    return false;/' http_http_test '*Unsent*'
 mutant "a peer that is cut as well counts as one that works" $s/relay/connect_operation.cpp \
--- a/scripts/mutants/retries.sh
+++ b/scripts/mutants/retries.sh
@@ -23,9 +23,9 @@
 mutant "two keepers" $s/coordinator/coordinator_rate_leases.cpp \
   's/  if \(mStopping \|\| !mLease.Held\(\)\) \{/  if (mStopping) {/' coordinator_coordinator_limits_test '*TheHolderKeeps*'
 mutant "second attempts go on kept connections" $s/relay/exchange_sending.cpp \
-  's/ \|\| mAvoidsPooled//' relay_relay_kept_test '*AllKept*'
+  's/ \|\| mAvoidsPooled//' relay_relay_kept_test '*AllPooled*'
 mutant "a stale connection is the engine's fault" $s/relay/exchange_ends.cpp \
-  's/aMayHaveRun \&\& !mCurrent.mStale/aMayHaveRun/' relay_relay_kept_test '*NotPassedOver*'
+  's/aMayHaveRun \&\& !mCurrent.mStale/aMayHaveRun/' relay_relay_kept_test '*NotAvoided*'
 mutant "the engine of a stale connection counts twice" $s/relay/exchange_ends.cpp \
   's/mSent - \(StaleEngine\(\) != nullptr \? 1 : 0\)/mSent/' relay_relay_kept_test '*OneAttempt*'
 mutant "an end behind a kept connection is not noted" $s/relay/exchange_suspect.cpp \
--- a/scripts/mutants/shared_pool.sh
+++ b/scripts/mutants/shared_pool.sh
@@ -10,7 +10,7 @@
 mutant "answers cut short pass" $relay/exchange.cpp \
   's/if \(!aEnd.mComplete\)/if (false)/' relay_relay_test '*OnlyAWholeAnswer*'
 mutant "a kept connection with bytes on it is used" $relay/connection_pool.cpp \
-  's/Peek\(last.mSocket\) == PeekResult::kQuiet/true/' relay_relay_test '*SpoilsIt*'
+  's/Peek\(last.mSocket\) == PeekResult::kQuiet/true/' relay_relay_test '*MakesItUnusable*'
 mutant "a caller names its customer" platform/dialect.cpp \
   's/\{ kKey, kCustomer, kEngine/{ kKey, kEngine/' platform_decode_test '*TakesOut*'
 mutant "the key is passed on" platform/dialect.cpp \
--- a/scripts/mutants/suspects.sh
+++ b/scripts/mutants/suspects.sh
@@ -52,7 +52,7 @@
 mutant "a run to the end is not noted" $relay/relay.cpp \
   's/    mHooks.mOnSuspectCompleted\(aKey\);/    ;/' relay_relay_suspects_test '*TimeIsOver*'
 mutant "what ran lately is suspected" $relay/relay.cpp \
-  's/if \(!ran \&\& /if (/' relay_relay_suspects_test '*HasJustRunToItsEndIsNot*'
+  's/if \(!ran \&\& /if (/' relay_relay_suspects_test '*HasJustCompletedIsNot*'
 mutant "what ran lately is not cleared" $relay/relay.cpp \
   's/  if \(suspects\) \{/  if (false) {/' relay_relay_suspects_test '*ClearsWhat*'
 mutant "a run is remembered for ever" $quarantine/recent_runs.cpp \
--- a/src/pepperbay/relay/connector_peers_test.cpp
+++ b/src/pepperbay/relay/connector_peers_test.cpp
@@ -92,7 +92,7 @@
 
 /// Guards against failures for longer than a second at a node whose whole data centre is cut off
 /// from the engines, although at each moment one of its peers opens tunnels.
-RC_GTEST_PROP(ConnectorPeers, ACutNodeWithOneGoodPeerServesAsOthersDo, ())
+RC_GTEST_PROP(ConnectorPeers, ANodeWithoutADirectPathServesThroughOneGoodPeer, ())
 {
   const auto [nodes, centres] =
     *rc::gen::element(std::pair{ 60, 4 }, std::pair{ 75, 5 }, std::pair{ 295, 5 });
@@ -153,7 +153,7 @@
 }
 
 /// Guards against asking several peers for each connection when the first one answers.
-TEST(ConnectorPeers, WhereThePeersCarryOneIsAskedForEachConnection)
+TEST(ConnectorPeers, OnePeerIsAskedPerConnectionWherePeersOpenTunnels)
 {
   ConnectorWorld world(kEngines);
   world.SetPeers(PeersOf("n0", Fleet(60, 4)));
--- a/src/pepperbay/relay/connector_sight_test.cpp
+++ b/src/pepperbay/relay/connector_sight_test.cpp
@@ -18,7 +18,7 @@
 
 /// Guards against a false direct-path-down on an idle node: the one engine it connects to pauses,
 /// and a peer reaches that engine a moment later.
-TEST(ConnectorSight, APauseOfOneEngineMakesNoNodeBlind)
+TEST(ConnectorReachability, APauseOfOneEngineIsNoPathFailure)
 {
   for (int pause = 1; pause < 120; ++pause) {
     ConnectorWorld world(5);
@@ -33,7 +33,7 @@
 
 /// Guards against a false direct-path-down when two engines pause at once and a peer reaches them a
 /// moment later. Only the first of the two faults is checked against another engine.
-TEST(ConnectorSight, APauseOfTwoEnginesMakesNoNodeBlind)
+TEST(ConnectorReachability, APauseOfTwoEnginesIsNoPathFailure)
 {
   for (int pause = 1; pause < 120; ++pause) {
     ConnectorWorld world(5);
@@ -49,7 +49,7 @@
 }
 
 /// As above, but the second engine pauses longer and is the one used for the reachability check.
-TEST(ConnectorSight, APauseOfTheEngineThatIsLookedAtMakesNoNodeBlind)
+TEST(ConnectorReachability, APauseOfTheProbedEngineIsNoPathFailure)
 {
   for (int pause = 1; pause < 120; ++pause) {
     for (int other = 1; other < 5; ++other) {
@@ -66,7 +66,7 @@
 }
 
 /// Guards against a node that goes on trying its own connections after its direct path is down.
-TEST(ConnectorSight, ACutIsKnownSoonAfterTheFirstPathFault)
+TEST(ConnectorReachability, APathFailureIsDetectedSoonAfterTheFirstFault)
 {
   for (const PathKind cut : { PathKind::kSilent, PathKind::kRefuses }) {
     ConnectorWorld world(5);
@@ -81,7 +81,7 @@
 
 /// Guards against a false direct-path-down when the engine used for a reachability check pauses at
 /// that moment. Such a check reports no reachability, and has no further effect.
-TEST(ConnectorSight, ALookAtAnEngineThatPausesMakesNoNodeBlind)
+TEST(ConnectorReachability, AProbeOfAPausingEngineIsNoPathFailure)
 {
   ConnectorWorld world(3);
   world.SetPeers(TwoPeers());
@@ -100,7 +100,7 @@
 
 /// Guards against a false direct-path-down on a node that receives data from one engine only, while
 /// that engine pauses.
-TEST(ConnectorSight, APauseOfTheOnlyEngineLatelyHeardMakesNoNodeBlind)
+TEST(ConnectorReachability, APauseOfTheOnlyRecentlyActiveEngineIsNoPathFailure)
 {
   for (int pause = 1; pause < 1500; pause += 7) {
     ConnectorWorld world(5);
@@ -117,7 +117,7 @@
 }
 
 /// Guards against a positive reachability check on a node that reaches no engine.
-TEST(ConnectorSight, ANodeThatIsCutFindsNoSight)
+TEST(ConnectorReachability, ANodeWithoutADirectPathReportsNoReachability)
 {
   for (const PathKind cut : { PathKind::kSilent, PathKind::kRefuses }) {
     ConnectorWorld world(5);
--- a/src/pepperbay/relay/event_splitter_test.cpp
+++ b/src/pepperbay/relay/event_splitter_test.cpp
@@ -6,7 +6,7 @@
 namespace pepperbay {
 namespace {
 
-TEST(EventSplitter, GivesWholeEventsOnly)
+TEST(EventSplitter, ReturnsCompleteEventsOnly)
 {
   EventSplitter splitter;
   splitter.Feed("id: 1\ndata: a\n\nid: 2\nda");
@@ -34,7 +34,7 @@
 
 /// Guards against quadratic time: if each piece restarted the search for the end of the event from
 /// its beginning, this test would take minutes.
-TEST(EventSplitter, AnEventWithoutEndIsLookedThroughOnce)
+TEST(EventSplitter, AnUnterminatedEventIsScannedOnce)
 {
   constexpr std::size_t kPiece = 256;
   constexpr std::size_t kAll = std::size_t{ 64 } << 20U;
@@ -53,7 +53,7 @@
 }
 
 /// The events do not depend on how the bytes are split into pieces, and no bytes are lost.
-RC_GTEST_PROP(EventSplitter, CutsDoNotMatter, ())
+RC_GTEST_PROP(EventSplitter, EventsDoNotDependOnHowBytesAreSplit, ())
 {
   std::string all;
   const auto count = *rc::gen::inRange(0, 20);
--- a/src/pepperbay/relay/relay_attempts_test.cpp
+++ b/src/pepperbay/relay/relay_attempts_test.cpp
@@ -273,7 +273,7 @@
 
 /// Guards against cutting a stream although the replica of its first head was re-formed under the
 /// same head, which can take the stream again.
-TEST_F(RelayAttempts, AHeadThatHasFormedAnewTakesItsStreamAgain)
+TEST_F(RelayAttempts, AHeadOfAReformedReplicaTakesItsStreamAgain)
 {
   FirstEngine first;
   std::promise<void> asked;
@@ -338,7 +338,7 @@
 
 /// Guards against exceeding the route's maximum number of engines because of a slot allocator,
 /// which does not know how many engines the stream was sent to.
-TEST_F(RelayAttempts, APlaceAtAThirdEngineIsGivenBack)
+TEST_F(RelayAttempts, ASlotAtAThirdEngineIsReleased)
 {
   FirstEngine first;
   std::atomic<int> requests{ 0 };
@@ -375,7 +375,7 @@
 
 /// Guards against sending a stream to a second engine that is silent for this node as well. That
 /// uses up the last engine which the route allows, while another engine could serve the stream.
-TEST_F(RelayAttempts, AStreamDoesNotMoveToAHeadThatStandsStillForThisNode)
+TEST_F(RelayAttempts, AStreamDoesNotMoveToAHeadThatIsStalledForThisNode)
 {
   FirstEngine first;
   FirstEngine silent;
--- a/src/pepperbay/relay/relay_endless_test.cpp
+++ b/src/pepperbay/relay/relay_endless_test.cpp
@@ -9,7 +9,7 @@
 /// Size in bytes of an answer that exceeds the buffer limit in these tests.
 constexpr std::size_t kLarge = std::size_t{ 1 } << 20U;
 
-class RelayEndless : public RelayTest
+class RelayEndlessAnswers : public RelayTest
 {
 protected:
   /// Writes a piece repeatedly until the relay closes the connection.
@@ -31,14 +31,14 @@
 };
 
 /// Guards against a caller that waits until its deadline while the engine sends interim answers.
-TEST_F(RelayEndless, InterimAnswersAreBrokenOff)
+TEST_F(RelayEndlessAnswers, EndlessInterimAnswersAreRejected)
 {
   RawEngine engine(Repeats("", "HTTP/1.1 102 Processing\r\n\r\n"));
   Serve({ &engine });
   EXPECT_EQ(StatusOf(Ask(Once())), 502);
 }
 
-TEST_F(RelayEndless, AFewInterimAnswersArePassedOver)
+TEST_F(RelayEndlessAnswers, AFewInterimAnswersAreSkipped)
 {
   RawEngine engine([](RawConnection& aConnection) {
     aConnection.ReadRequest();
@@ -50,7 +50,7 @@
 }
 
 /// Guards against running out of memory by buffering an endless header.
-TEST_F(RelayEndless, AHeadIsBrokenOff)
+TEST_F(RelayEndlessAnswers, AnEndlessHeaderIsRejected)
 {
   RawEngine engine(Repeats("HTTP/1.1 200 OK\r\nA: ", mPiece));
   Serve({ &engine });
@@ -58,7 +58,7 @@
 }
 
 /// As above, for an endless chunk extension before the first byte of a chunk.
-TEST_F(RelayEndless, TheSizeOfAChunkIsBrokenOff)
+TEST_F(RelayEndlessAnswers, AnEndlessChunkSizeIsRejected)
 {
   RawEngine engine(Repeats(std::string(kHead) + "Transfer-Encoding: chunked\r\n\r\n5;", mPiece));
   Serve({ &engine });
@@ -66,7 +66,7 @@
 }
 
 /// As above, for endless trailers after the last chunk.
-TEST_F(RelayEndless, TrailersAreBrokenOff)
+TEST_F(RelayEndlessAnswers, EndlessTrailersAreRejected)
 {
   RawEngine engine(Repeats(std::string(kHead) + "Transfer-Encoding: chunked\r\n\r\n0\r\n",
                            "A: " + mPiece + "\r\n"));
@@ -75,7 +75,7 @@
 }
 
 /// Guards against running out of memory by several answers that are each within the limit.
-TEST_F(RelayEndless, BodiesAreBoundedTogetherAndSmallAnswersServed)
+TEST_F(RelayEndlessAnswers, BodiesAreBoundedTogetherAndSmallAnswersServed)
 {
   constexpr std::size_t kHalf = std::size_t{ 300 } << 10U;
   RelayOptions options;
@@ -105,7 +105,7 @@
 }
 
 /// As above, for large events, each of which would be complete in the end.
-TEST_F(RelayEndless, EventsAreBoundedWithThem)
+TEST_F(RelayEndlessAnswers, EventsAreBoundedTogetherWithBodies)
 {
   RelayOptions options;
   options.mMaxBufferedBytes = std::size_t{ 512 } << 10U;
--- a/src/pepperbay/relay/relay_kept_test.cpp
+++ b/src/pepperbay/relay/relay_kept_test.cpp
@@ -33,7 +33,7 @@
   int mArrived = 0;
 };
 
-class RelayKept : public RelayTest
+class RelayPooledConnections : public RelayTest
 {
 protected:
   std::vector<int> AskAtOnce(const std::function<std::string(int)>& aRequest)
@@ -78,7 +78,7 @@
 
 /// Guards against failures of repeatable requests when the only engine closes all of its pooled
 /// connections at once.
-TEST_F(RelayKept, RequestsAreServedThoughAllKeptConnectionsCloseAtOnce)
+TEST_F(RelayPooledConnections, RequestsAreServedThoughAllPooledConnectionsCloseAtOnce)
 {
   RawEngine engine(ClosesPooled());
   Serve({ &engine });
@@ -88,7 +88,7 @@
 }
 
 /// As above, for equal requests.
-TEST_F(RelayKept, EqualRequestsAreServedThoughAllKeptConnectionsCloseAtOnce)
+TEST_F(RelayPooledConnections, EqualRequestsAreServedThoughAllPooledConnectionsCloseAtOnce)
 {
   RawEngine engine(ClosesPooled());
   Serve({ &engine });
@@ -99,7 +99,7 @@
 
 /// Guards against one probe of the engine per stale connection, in addition to the connections that
 /// serve the requests.
-TEST_F(RelayKept, NoConnectionIsMadeThatServesNothing)
+TEST_F(RelayPooledConnections, NoProbeIsMadePerStaleConnection)
 {
   RawEngine engine(ClosesPooled());
   Serve({ &engine });
@@ -121,7 +121,7 @@
 }
 
 /// Guards against avoiding a healthy engine after it has closed a pooled connection.
-TEST_F(RelayKept, TheEngineIsNotPassedOver)
+TEST_F(RelayPooledConnections, TheEngineIsNotAvoided)
 {
   RawEngine first(ServesOne);
   RawEngine second(ServesOne);
@@ -134,7 +134,7 @@
 
 /// Guards against counting a new connection to the same engine as a second engine: on this route a
 /// request may be sent to one engine only.
-TEST_F(RelayKept, OneAttemptIsEnoughForASecondConnection)
+TEST_F(RelayPooledConnections, OneAttemptIsEnoughForASecondConnection)
 {
   RawEngine engine(ServesOne);
   mPublishAtOnce = false;
@@ -152,9 +152,9 @@
   EXPECT_EQ(StatusOf(Ask(Get("/safe/"))), 200);
 }
 
-/// As `RequestsAreServedThoughAllKeptConnectionsCloseAtOnce`, for HEAD requests and for requests
+/// As `RequestsAreServedThoughAllPooledConnectionsCloseAtOnce`, for HEAD requests and for requests
 /// with a body.
-TEST_F(RelayKept, HeadsAndBodiesAreServedAsWell)
+TEST_F(RelayPooledConnections, HeadsAndBodiesAreServedAsWell)
 {
   RawEngine engine([](RawConnection& aConnection) {
     const std::string request = aConnection.ReadRequest();
@@ -172,7 +172,7 @@
 }
 
 /// An engine that also fails on a new connection counts as failed, and another engine is tried.
-TEST_F(RelayKept, AnEngineThatBreaksOffAgainIsLeft)
+TEST_F(RelayPooledConnections, AnEngineThatClosesAgainCountsAsFailed)
 {
   std::atomic<int> connections{ 0 };
   RawEngine first([&](RawConnection& aConnection) {
@@ -197,7 +197,7 @@
 
 /// Guards against a third attempt at an engine that is slow on the second connection, while another
 /// engine is free.
-TEST_F(RelayKept, AnEngineThatIsSlowOnTheSecondConnectionIsNotAskedAgain)
+TEST_F(RelayPooledConnections, AnEngineThatIsSlowOnTheSecondConnectionIsNotAskedAgain)
 {
   std::atomic<int> connections{ 0 };
   RawEngine first([&](RawConnection& aConnection) {
@@ -223,7 +223,7 @@
 
 /// Guards against spending a stream's last attempt on a pooled connection right after a reset of
 /// its path: pooled connections are then likely to be dead as well.
-TEST_F(RelayKept, AStreamThatIsBrokenOffGoesOnOverANewConnection)
+TEST_F(RelayPooledConnections, AnInterruptedStreamGoesOnOverANewConnection)
 {
   const std::string head = std::string(kHead) + "Transfer-Encoding: chunked\r\n\r\n";
   const std::string first = "f\r\nid: 1\ndata: a\n\n\r\n";
@@ -262,7 +262,7 @@
 
 /// Guards against missing an engine's exit during a request because the connection was a pooled
 /// one.
-TEST_F(RelayKept, ARequestIsSuspectedWhenItsEngineHasEnded)
+TEST_F(RelayPooledConnections, ARequestIsSuspectedWhenItsEngineHasExited)
 {
   auto engine = std::make_unique<RawEngine>([](RawConnection& aConnection) {
     aConnection.ReadRequest();
--- a/src/pepperbay/relay/relay_moves_test.cpp
+++ b/src/pepperbay/relay/relay_moves_test.cpp
@@ -8,7 +8,7 @@
 /// lease holder plans the replica under a later epoch while the old group still runs and writes. If
 /// the later epoch is read as the end of the old group, its streams move to other engines, most of
 /// which refuse them.
-TEST_F(RelayMoves, AStreamStaysWithAnEngineThatWritesWhileItsReplicaIsPlannedAnew)
+TEST_F(RelayMoves, AStreamStaysWithAnEngineThatWritesWhileItsReplicaIsReplanned)
 {
   std::promise<void> began;
   std::promise<void> planned;
@@ -36,7 +36,7 @@
 }
 
 /// As above, when a member is reported as lost: it may have stopped listening but still be working.
-TEST_F(RelayMoves, AStreamStaysWithAnEngineThatWritesWhateverIsSaidOfItsReplica)
+TEST_F(RelayMoves, AStreamStaysWithAnEngineThatWritesThoughItsReplicaIsReportedLost)
 {
   std::promise<void> began;
   std::promise<void> said;
@@ -131,7 +131,7 @@
 
 /// A stream whose replica stalls continues at another engine; the attempt at the first is
 /// cancelled.
-TEST_F(RelayMoves, AStreamOfAReplicaThatStandsStillGoesOnElsewhere)
+TEST_F(RelayMoves, AStreamOfAStalledReplicaGoesOnElsewhere)
 {
   std::promise<void> began;
   std::promise<void> left;
@@ -250,7 +250,7 @@
 /// accepts the request and stalls, and its replica is lost too. The stream may be sent to no more
 /// engines, so the relay must end it. It hangs if lost replicas are not checked while a second
 /// attempt is in progress.
-TEST_F(RelayMoves, AStreamThatStandsStillAtBothEnginesIsEnded)
+TEST_F(RelayMoves, AStreamThatStallsAtBothEnginesIsEnded)
 {
   std::promise<void> began;
   std::promise<void> asked;
@@ -371,7 +371,7 @@
 
 /// Guards against a failure for the caller when the only engine closes a pooled connection just as
 /// the next request is sent on it.
-TEST_F(RelayTest, ASafeRequestIsServedThoughItsKeptConnectionIsClosed)
+TEST_F(RelayTest, ASafeRequestIsServedThoughItsPooledConnectionIsClosed)
 {
   std::atomic<bool> first{ true };
   RawEngine engine([&](RawConnection& aConnection) {
--- a/src/pepperbay/relay/relay_pauses_test.cpp
+++ b/src/pepperbay/relay/relay_pauses_test.cpp
@@ -51,7 +51,7 @@
 
 /// Guards against ending an answer because its engine pauses, when no other engine can take the
 /// stream.
-TEST_F(RelayPauses, AStreamWhoseOnlyEngineOfAReplicaCalledLostPausesGetsItsWholeAnswer)
+TEST_F(RelayPauses, AStreamWhoseOnlyEnginePausesWhileReportedLostIsCompleted)
 {
   PausingEngine first(StreamHead() + kEventA);
   RawEngine second([](RawConnection& aConnection) { aConnection.ReadRequest(); });
--- a/src/pepperbay/relay/relay_peers_test.cpp
+++ b/src/pepperbay/relay/relay_peers_test.cpp
@@ -86,7 +86,7 @@
 
 /// Guards against a node that repeatedly asks peers which open no tunnel, and refuses its callers,
 /// although another peer would open one.
-TEST_P(RelayPeers, TheOneThatCarriesIsFoundAndKeptTo)
+TEST_P(RelayPeers, TheUsablePeerIsFoundAndReused)
 {
   ServeWithOneGoodPeer();
   EXPECT_EQ(Served(2), 6) << "the path is open";
--- a/src/pepperbay/relay/relay_reach_test.cpp
+++ b/src/pepperbay/relay/relay_reach_test.cpp
@@ -21,7 +21,7 @@
 
 /// Guards against a node that starts without a direct path and does not detect this, because it has
 /// never received anything from an engine.
-TEST_F(RelayReach, ANodeThatStartsWhileItIsCutServesAsOthersDo)
+TEST_F(RelayReach, ANodeThatStartsWithoutADirectPathServesAsOthersDo)
 {
   ServeBehindPaths();
   Cut(PathState::kSilent);
@@ -36,7 +36,7 @@
 
 /// Guards against taking an engine's exit, which the request and the probe both find, for a direct
 /// path that is down: all requests would then go through peers.
-TEST_F(RelayReach, AnEngineThatHasEndedIsNoCut)
+TEST_F(RelayReach, AnEngineExitIsNoPathFailure)
 {
   std::promise<void> begun;
   std::promise<void> ends;
@@ -69,7 +69,7 @@
 
 /// Guards against taking resets and refusals of a path that is down for exits of healthy engines:
 /// requests would be quarantined at all nodes, and heads reported as lost.
-TEST_F(RelayReach, EnginesThatOnlyThisNodeDoesNotReachAreNotSaidToHaveEnded)
+TEST_F(RelayReach, EnginesThatOnlyThisNodeDoesNotReachAreNotReportedAsExited)
 {
   std::atomic<int> begun{ 0 };
   std::promise<void> ends;
@@ -92,7 +92,7 @@
 
 /// Guards against plain services' engines that receive no requests from any node because several
 /// nodes of one data centre were cut off from them and reported failures.
-TEST_F(RelayReach, WhatACutBreaksOffIsNotSaidToBeTheEnginesFailure)
+TEST_F(RelayReach, RequestsBrokenByAPathFailureAreNotReportedAsEngineFailures)
 {
   std::atomic<int> begun{ 0 };
   std::promise<void> ends;
@@ -238,7 +238,7 @@
 
 /// Guards against running a request that must not be repeated twice after the peer that tunnelled
 /// it exits.
-TEST_F(RelayReach, WhatMayRunOnceIsNotSentAgainWhenThePeerEnds)
+TEST_F(RelayReach, AnUnrepeatableRequestIsNotSentAgainWhenThePeerExits)
 {
   std::promise<void> begun;
   std::promise<void> ends;
@@ -263,7 +263,7 @@
 }
 
 /// Guards against nodes without a direct path that forward connections to each other.
-TEST_F(RelayReach, WherePeersAreCutAsWellRequestsAreRefusedAsNotRun)
+TEST_F(RelayReach, WherePeersHaveNoPathEitherRequestsAreRefusedAsNotRun)
 {
   ServeBehindPaths();
   Cut(PathState::kReset);
@@ -289,7 +289,7 @@
 }
 
 /// Guards against a node that goes on using peers after its direct path has recovered.
-TEST_F(RelayReach, TheWayBackIsFoundAndOwnConnectionsAreUsedAgain)
+TEST_F(RelayReach, ARecoveredDirectPathIsDetectedAndUsedAgain)
 {
   ServeBehindPaths();
   Cut(PathState::kReset);
@@ -306,7 +306,7 @@
 }
 
 /// Guards against truncated answers when the node that tunnels them is stopped gracefully.
-TEST_F(RelayReach, APeerThatStopsEndsWhatItCarriesFirst)
+TEST_F(RelayReach, AStoppingPeerCompletesItsTunnelsFirst)
 {
   mPeer.mOptions.mStopGrace = milliseconds(1);
   std::promise<void> begun;
--- a/src/pepperbay/relay/relay_retries_test.cpp
+++ b/src/pepperbay/relay/relay_retries_test.cpp
@@ -64,7 +64,7 @@
 }
 
 /// A node that does not own the retry budget asks the owner and follows its answer.
-TEST_F(RelayRetries, TheKeeperIsAskedAndItsWordCounts)
+TEST_F(RelayRetries, TheBudgetOwnerIsAskedAndItsAnswerFollowed)
 {
   for (const bool granted : { true, false }) {
     mSentToAllocators.clear();
--- a/src/pepperbay/relay/relay_rush_test.cpp
+++ b/src/pepperbay/relay/relay_rush_test.cpp
@@ -6,7 +6,7 @@
 
 /// Guards against an overloaded node that accepts the connections of a whole region, answers all of
 /// them late, and is taken out of rotation for its latency.
-TEST_F(RelayTest, ConnectionsThatTheGateDoesNotTakeAreClosedUnread)
+TEST_F(RelayTest, ConnectionsThatTheGateRejectsAreClosedUnread)
 {
   RawEngine engine([](RawConnection& aConnection) {
     while (!aConnection.ReadRequest().empty()) {
--- a/src/pepperbay/relay/relay_sight_test.cpp
+++ b/src/pepperbay/relay/relay_sight_test.cpp
@@ -79,7 +79,7 @@
 };
 
 /// Streams go to the first engine, all other requests to the second.
-class RelaySight : public RelayReach
+class RelayReachability : public RelayReach
 {
 protected:
   void TearDown() override
@@ -108,7 +108,7 @@
 
 /// Guards against reporting healthy engines as exited by a node whose direct path is down, because
 /// it still receives data from another engine over an older connection.
-TEST_F(RelaySight, AnEngineThatRefusesACutNodeHasNotEndedThoughOldConnectionsLiveOn)
+TEST_F(RelayReachability, AnEngineIsNotReportedAsExitedByANodeWithoutADirectPath)
 {
   std::promise<void> begun;
   std::promise<void> breaks;
@@ -138,7 +138,7 @@
 
 /// Guards against reporting an engine as lost because of a peer that is cut off itself, but still
 /// receives data from another engine over an older connection.
-TEST_F(RelaySight, APeerWhoseNewConnectionsFailHasNoWordOnEngines)
+TEST_F(RelayReachability, APeerWhoseNewConnectionsFailReportsNoReachability)
 {
   ServeStreamsApart([](RawConnection&) {});
   Peer cut("cut");
--- a/src/pepperbay/relay/relay_stop_test.cpp
+++ b/src/pepperbay/relay/relay_stop_test.cpp
@@ -4,7 +4,7 @@
 namespace {
 
 /// A relay with a manual clock that is asked to stop while one request is in progress.
-class StopTest : public RelayTest
+class RelayStop : public RelayTest
 {
 protected:
   void ServeAndBegin()
@@ -49,7 +49,7 @@
 /// Guards against lost answers when a node is stopped: one request is in progress, one connection
 /// is idle, and on a third half a request has arrived. Answers are lost if the process exits before
 /// the load balancer stops sending, or accepts requests that it cannot finish.
-TEST_F(StopTest, AnswersWhatIsInProgressAndRefusesWhatComesLate)
+TEST_F(RelayStop, AnswersWhatIsInProgressAndRefusesWhatComesLate)
 {
   ServeAndBegin();
   const int idle = Connect();
@@ -81,7 +81,7 @@
 /// Guards against an error body that denies a request has run when an engine has read it and then
 /// stayed silent until the deadline. It happens if the outcome is updated after the body is built,
 /// so that only the status reflects it.
-TEST_F(StopTest, ARequestWithoutAnAnswerInTimeIsSaidToBeUnknown)
+TEST_F(RelayStop, ARequestWithoutAnAnswerInTimeIsReportedAsUnknown)
 {
   ServeAndBegin();
   mClock.Advance(seconds(20)); // the route's timeout
@@ -93,7 +93,7 @@
 
 /// A process that reaches its stop time-out answers its remaining callers before it exits. Guards
 /// against a body that says "not run" for requests that engines have read.
-TEST_F(StopTest, WhatDoesNotEndInTimeIsAnsweredBeforeTheProcessEnds)
+TEST_F(RelayStop, RequestsUnfinishedAtTheStopTimeoutAreAnsweredBeforeExit)
 {
   ServeAndBegin();
   BeginStop();
@@ -106,7 +106,7 @@
 }
 
 /// Guards against a missing log line when a caller's connection closes during a half-read request.
-TEST_F(RelayTest, AConnectionThatEndsUnderAHalfReadRequestHasALine)
+TEST_F(RelayTest, AConnectionThatClosesDuringAHalfReadRequestIsLogged)
 {
   Serve({});
   const int socket = Connect();
--- a/src/pepperbay/relay/relay_suspects_test.cpp
+++ b/src/pepperbay/relay/relay_suspects_test.cpp
@@ -92,7 +92,7 @@
 };
 
 /// An engine that exits no longer listens, unlike one that only closes a connection.
-TEST_F(RelaySuspects, ARequestIsSuspectedOfTheEndOfAnEngineThatHadJustBegunIt)
+TEST_F(RelaySuspects, ARequestIsSuspectedOfTheExitOfAnEngineThatHadJustBegunIt)
 {
   ExitingEngine exiting(true);
   Serve({ exiting.mEngine.get() });
@@ -108,7 +108,7 @@
 
 /// Guards against not reporting a head that closes its connections to the lease holder: its replica
 /// would stay in the plan until the registration expires, and all requests sent there would fail.
-TEST_F(RelaySuspects, TheHolderHearsOfAHeadThatHasEndedWithItsStreams)
+TEST_F(RelaySuspects, TheHolderIsNotifiedOfAHeadThatHasExitedWithItsStreams)
 {
   ExitingEngine exiting(true);
   Serve({ exiting.mEngine.get() });
@@ -119,7 +119,7 @@
   EXPECT_GE(mRefusalReports, 1);
 }
 
-TEST_F(RelaySuspects, TheHolderHearsOfAHeadThatRefusesConnectionsAndNotWithEachRequest)
+TEST_F(RelaySuspects, TheHolderIsNotifiedOfAHeadThatRefusesConnectionsButNotWithEachRequest)
 {
   SharedClock clock;
   RelayOptions options;
@@ -139,7 +139,7 @@
 }
 
 /// A request that only waited at an engine that exits is probably not the cause.
-TEST_F(RelaySuspects, ARequestThatWaitedAtAnEngineThatEndsIsSuspectedLess)
+TEST_F(RelaySuspects, ARequestThatWaitedAtAnEngineThatExitsIsSuspectedLess)
 {
   ExitingEngine exiting(false);
   Serve({ exiting.mEngine.get() });
@@ -152,7 +152,7 @@
 }
 
 /// A plain engine answers only when it is done, so a request without an answer may be the cause.
-TEST_F(RelaySuspects, ARequestWithoutAnAnswerAtAPlainEngineThatEndsIsSuspected)
+TEST_F(RelaySuspects, ARequestWithoutAnAnswerAtAPlainEngineThatExitsIsSuspected)
 {
   ExitingEngine exiting(false);
   Serve({ exiting.mEngine.get() });
@@ -188,7 +188,7 @@
 }
 
 /// Guards against nodes that keep sending a request which ends an engine each time.
-TEST_F(RelaySuspects, ARequestThatIsHeldBackIsRefusedAtOnceAndReachesNoEngine)
+TEST_F(RelaySuspects, ARequestThatIsQuarantinedIsRefusedAtOnceAndReachesNoEngine)
 {
   RawEngine engine([](RawConnection& aConnection) {
     aConnection.ReadRequest();
@@ -208,7 +208,7 @@
   EXPECT_EQ(StatusOf(Ask(Post("/stream/", "y", "Model: m\r\n"))), 200);
 }
 
-TEST_F(RelaySuspects, ARequestRunsAgainOnceItsTimeIsOver)
+TEST_F(RelaySuspects, ARequestRunsAgainOnceItsQuarantineTimeIsOver)
 {
   RawEngine engine([](RawConnection& aConnection) {
     aConnection.ReadRequest();
@@ -222,7 +222,7 @@
 
 /// Guards against refusing a request that many callers send constantly, so that it is present at
 /// each engine that exits.
-TEST_F(RelaySuspects, ARequestThatHasJustRunToItsEndIsNotSuspected)
+TEST_F(RelaySuspects, ARequestThatHasJustCompletedIsNotSuspected)
 {
   std::atomic<bool> runs{ true };
   ExitingEngine exiting(true, &runs);
@@ -242,7 +242,7 @@
 
 /// Nodes that saw only the exits quarantine a request; a node where it has just been answered
 /// clears it.
-TEST_F(RelaySuspects, ANodeClearsWhatHasJustRunToItsEndThere)
+TEST_F(RelaySuspects, ANodeClearsWhatHasJustCompletedThere)
 {
   RawEngine engine([](RawConnection& aConnection) {
     aConnection.ReadRequest();
@@ -279,7 +279,7 @@
 
 /// Guards against further engine exits by copies of a request that are already at engines when the
 /// request is quarantined.
-TEST_F(RelaySuspects, WhatAnEngineHasOnlyBegunIsStoppedOnceItIsHeldBack)
+TEST_F(RelaySuspects, WhatAnEngineHasOnlyBegunIsStoppedOnceItIsQuarantined)
 {
   std::promise<void> asked;
   std::promise<void> closed;
@@ -318,7 +318,7 @@
 
 /// Guards against refusing a whole route: most of its requests share one prompt part, which would
 /// be suspected of each engine exit.
-TEST_F(RelaySuspects, APartThatHasJustRunToItsEndIsNotSuspected)
+TEST_F(RelaySuspects, APartThatHasJustCompletedIsNotSuspected)
 {
   std::atomic<bool> runs{ true };
   ExitingEngine exiting(true, &runs);
@@ -355,7 +355,7 @@
 }
 
 /// Guards against new requests with a quarantined prompt part that still reach engines.
-TEST_F(RelaySuspects, ARequestWithAPartThatIsHeldBackIsRefusedAtOnceAndOthersAreNot)
+TEST_F(RelaySuspects, ARequestWithAPartThatIsQuarantinedIsRefusedAtOnceAndOthersAreNot)
 {
   RawEngine engine([](RawConnection& aConnection) {
     aConnection.ReadRequest();
@@ -376,7 +376,7 @@
 /// Guards against refusing a whole route for ten minutes: its common prompt part may be quarantined
 /// together with the actual cause before any node has seen it complete. If all its requests are
 /// refused, no completed request can clear it, so a stream that continues to run must do so.
-TEST_F(RelaySuspects, AStreamThatRunsOnWithAPartThatIsHeldBackClearsIt)
+TEST_F(RelaySuspects, AStreamThatRunsOnWithAPartThatIsQuarantinedClearsIt)
 {
   SharedClock clock;
   std::promise<void> wrote;
@@ -412,7 +412,7 @@
 }
 
 /// A stream that has run for longer than requests which make engines exit is not the cause.
-TEST_F(RelaySuspects, AStreamThatRunsForLongIsNotCutWhenItIsHeldBack)
+TEST_F(RelaySuspects, AStreamThatRunsForLongIsNotCutWhenItIsQuarantined)
 {
   SharedClock clock;
   std::promise<void> wrote;
--- a/src/pepperbay/relay/relay_test.cpp
+++ b/src/pepperbay/relay/relay_test.cpp
@@ -261,7 +261,7 @@
 /// Guards against a request without a first event that waits until its connection times out. The
 /// head of its replica dies silently and the replica is re-formed under another head; a search for
 /// the old head among the replicas then finds nothing.
-TEST_F(RelayTest, AReplicaThatFormedAnewUnderAnotherHeadIsLeft)
+TEST_F(RelayTest, AReplicaReformedUnderAnotherHeadIsAbandoned)
 {
   std::promise<void> began;
   RawEngine silent([&](RawConnection& aConnection) {
@@ -373,7 +373,7 @@
 }
 
 /// New settings apply to later requests, also for services that have a budget already.
-TEST_F(RelayTest, ANewBudgetTakesForceWhileItRuns)
+TEST_F(RelayTest, ANewBudgetTakesEffectWhileTheRelayRuns)
 {
   const auto breaks = [](RawConnection& aConnection) { aConnection.ReadRequest(); };
   RawEngine first(breaks);
@@ -396,7 +396,7 @@
 
 /// Guards against taking a second answer, which arrives after the connection was pooled, for the
 /// answer to the next request.
-TEST_F(RelayTest, AnAnswerThatComesOnAKeptConnectionSpoilsIt)
+TEST_F(RelayTest, AnAnswerOnAPooledConnectionMakesItUnusable)
 {
   std::promise<void> answered;
   std::promise<void> late;
--- a/src/pepperbay/relay/relay_until_close_test.cpp
+++ b/src/pepperbay/relay/relay_until_close_test.cpp
@@ -61,7 +61,7 @@
 
 /// Guards against missing the exit of an engine inside an event: the close of its connection looks
 /// like the end of the answer.
-TEST_F(RelayUntilClose, TheEndOfAnEngineInsideAnEventIsNoted)
+TEST_F(RelayUntilClose, AnEngineExitInsideAnEventIsReported)
 {
   std::promise<void> asked;
   std::promise<void> ends;
