--- a/cmake/Layers.cmake
+++ b/cmake/Layers.cmake
@@ -92,10 +92,11 @@
                                 exchange_hedge.cpp exchange_suspect.cpp relay.cpp relay_core.cpp session.cpp
                   TESTS connection_pool_test.cpp event_splitter_test.cpp relay_test.cpp relay_moves_test.cpp
                         relay_pauses_test.cpp relay_attempts_test.cpp
-                        relay_kept_test.cpp relay_retries_test.cpp
-                        relay_stop_test.cpp relay_suspects_test.cpp relay_until_close_test.cpp relay_endless_test.cpp relay_rush_test.cpp relay_limits_test.cpp
-                        relay_reach_test.cpp relay_sight_test.cpp relay_peers_test.cpp
-                        connector_peers_test.cpp connector_sight_test.cpp
+                        relay_pooled_connections_test.cpp relay_retries_test.cpp
+                        relay_stop_test.cpp relay_suspects_test.cpp relay_until_close_test.cpp
+                        relay_endless_answers_test.cpp relay_connection_burst_test.cpp relay_limits_test.cpp
+                        relay_reach_test.cpp relay_reachability_test.cpp relay_peers_test.cpp
+                        connector_peers_test.cpp connector_reachability_test.cpp
                   USES settings membership quarantine reach admission routing dispatch places retries tunnel
                   PACKAGES nlohmann_json::nlohmann_json Threads::Threads)
 pepperbay_library(edge SOURCES edge_node.cpp edge_metrics.cpp
--- a/scripts/mutants/parts.sh
+++ b/scripts/mutants/parts.sh
@@ -20,8 +20,8 @@
 mutant "connections have no bound" $s/admission/connection_gate.cpp \
   's/if \(aOpen >= mOptions.mMostOpen\)/if (false)/' admission_connection_gate_test '*MayBeOpen*'
 mutant "interim answers have no bound" $s/relay/attempt.cpp \
-  's/if \(\+\+mInterim > kMaxInterimAnswers\)/if (false)/' relay_relay_endless_test '*Interim*'
+  's/if \(\+\+mInterim > kMaxInterimAnswers\)/if (false)/' relay_relay_endless_answers_test '*Interim*'
 mutant "kept answers have no bound together" $s/relay/exchange.cpp \
-  's/all <= mCore->mOptions.mMaxBufferedBytes/true/' relay_relay_endless_test '*Bounded*'
+  's/all <= mCore->mOptions.mMaxBufferedBytes/true/' relay_relay_endless_answers_test '*Bounded*'
 mutant "an end inside an event is not noted" $s/relay/exchange.cpp \
   's/    NoteEnd\(\&mCurrent, broken\);/    (void)broken;/' relay_relay_until_close_test '*IsReported*'
--- a/scripts/mutants/reach.sh
+++ b/scripts/mutants/reach.sh
@@ -54,7 +54,7 @@
 mutant "one more peer is asked at a time" $s/relay/connect_operation.cpp \
   's/kAskGrowth = 3;/kAskGrowth = 1;/' relay_connector_peers_test '*TheLastOfEight*'
 mutant "a fault at one engine is a cut" $s/relay/engine_connector.cpp \
-  's/ \&\& !Avoids\(\) \&\& mHeardAt < aBegun/ \&\& false/' relay_connector_sight_test '*APauseOf*'
+  's/ \&\& !Avoids\(\) \&\& mHeardAt < aBegun/ \&\& false/' relay_connector_reachability_test '*APauseOf*'
 mutant "peers aside have no turn once all have failed" $s/reach/proxy_choice.cpp \
   's/      !fails \&\& it.mDataCentre/      it.mDataCentre/' reach_proxy_choice_test '*PeersAside*'
 mutant "peers that have failed take no part once three were asked" $s/relay/connect_operation.cpp \
--- a/scripts/mutants/retries.sh
+++ b/scripts/mutants/retries.sh
@@ -23,13 +23,13 @@
 mutant "two keepers" $s/coordinator/coordinator_rate_leases.cpp \
   's/  if \(mStopping \|\| !mLease.Held\(\)\) \{/  if (mStopping) {/' coordinator_coordinator_limits_test '*TheHolderKeeps*'
 mutant "second attempts go on kept connections" $s/relay/exchange_sending.cpp \
-  's/ \|\| mAvoidsPooled//' relay_relay_kept_test '*AllPooled*'
+  's/ \|\| mAvoidsPooled//' relay_relay_pooled_connections_test '*AllPooled*'
 mutant "a stale connection is the engine's fault" $s/relay/exchange_ends.cpp \
-  's/aMayHaveRun \&\& !mCurrent.mStale/aMayHaveRun/' relay_relay_kept_test '*NotAvoided*'
+  's/aMayHaveRun \&\& !mCurrent.mStale/aMayHaveRun/' relay_relay_pooled_connections_test '*NotAvoided*'
 mutant "the engine of a stale connection counts twice" $s/relay/exchange_ends.cpp \
-  's/mSent - \(StaleEngine\(\) != nullptr \? 1 : 0\)/mSent/' relay_relay_kept_test '*OneAttempt*'
+  's/mSent - \(StaleEngine\(\) != nullptr \? 1 : 0\)/mSent/' relay_relay_pooled_connections_test '*OneAttempt*'
 mutant "an end behind a kept connection is not noted" $s/relay/exchange_suspect.cpp \
-  's/  if \(!aReached\) \{/  if (false) {/' relay_relay_kept_test '*Suspected*'
+  's/  if \(!aReached\) \{/  if (false) {/' relay_relay_pooled_connections_test '*Suspected*'
 mutant "answers of a stopping server do not say close" $s/http/server.cpp \
   's/  if \(aClosing\) \{/  if (false) {/' http_http_test '*TellsItsCallers*'
 mutant "a request earns at each desk that is asked" $s/places/place_agent.cpp \
@@ -37,4 +37,4 @@
 mutant "a stream without a second attempt is cut at once" $s/dispatch/failure_step.cpp \
   's/waits \&\& WhyNotAgain/false \&\& WhyNotAgain/' relay_relay_retries_test 'RelayAwaited*'
 mutant "what was broken off is sent over a kept connection" $s/relay/exchange_sending.cpp \
-  's/ \|\| mAvoidsPooled//' relay_relay_kept_test '*GoesOnOverANewConnection*'
+  's/ \|\| mAvoidsPooled//' relay_relay_pooled_connections_test '*GoesOnOverANewConnection*'
