--- a/src/pepperbay/relay/connection_pool_test.cpp
+++ b/src/pepperbay/relay/connection_pool_test.cpp
@@ -9,11 +9,11 @@
 /// the engine's connection limit, and the engine would reset connections of callers.
 TEST(ConnectionPool, AllNodesTogetherKeepNoMoreThanHalfOfWhatAnEngineTakes)
 {
-  for (const int most : { 52, 110, 404, 640, 1952 }) {
+  for (const int maxConnections : { 52, 110, 404, 640, 1952 }) {
     for (const int nodes : { 1, 8, 75, 295, 1300 }) {
-      EXPECT_LE(MaxIdleConnections(most, nodes) * static_cast<std::size_t>(nodes),
-                static_cast<std::size_t>(most) / 2)
-        << most << " connections, " << nodes << " nodes";
+      EXPECT_LE(MaxIdleConnections(maxConnections, nodes) * static_cast<std::size_t>(nodes),
+                static_cast<std::size_t>(maxConnections) / 2)
+        << maxConnections << " connections, " << nodes << " nodes";
     }
   }
   EXPECT_GE(MaxIdleConnections(404, 8), 8U);
--- a/src/pepperbay/relay/relay_attempts_test.cpp
+++ b/src/pepperbay/relay/relay_attempts_test.cpp
@@ -45,13 +45,13 @@
       }
       aConnection.Write(StreamHead() + kEventA);
       mBegan.set_value();
-      mEnd.get_future().wait();
+      mReset.get_future().wait();
       aConnection.Reset();
     }
 
     std::atomic<int> mRequests{ 0 };
     std::promise<void> mBegan;
-    std::promise<void> mEnd;
+    std::promise<void> mReset;
     RawEngine mEngine{ [this](RawConnection& aConnection) { Script(aConnection); } };
   };
 
@@ -122,7 +122,7 @@
   AwaitRefusal();
   AdvanceInSteps(milliseconds(300));
   EXPECT_EQ(requests, 1) << "asked again although the first engine may only be paused";
-  first.mEnd.set_value();
+  first.mReset.set_value();
   const std::string text = TextOf(std::move(answer));
   EXPECT_EQ(requests, 2);
   EXPECT_TRUE(Has(text, "data: b")) << text;
@@ -145,7 +145,7 @@
   AdvanceInSteps(kStallTimeout);
   AwaitRefusal();
   AdvanceInSteps(milliseconds(300));
-  first.mEnd.set_value();
+  first.mReset.set_value();
   mClock.WaitForTicks();
   AdvanceInSteps(milliseconds(2000));
   const std::string text = TextOf(std::move(answer));
@@ -208,7 +208,7 @@
   mPlan.mReplicas["pool"][1].mHead.mAddress = address;
   Publish();
   AdvanceInSteps(milliseconds(200)); // both have recovered
-  first.mEnd.set_value();
+  first.mReset.set_value();
   mClock.WaitForTicks();
   AdvanceInSteps(milliseconds(2000));
   const std::string text = TextOf(std::move(answer));
@@ -241,7 +241,7 @@
   FirstReplica().mLost = false;
   OfferSecond();
   AdvanceInSteps(milliseconds(200));
-  first.mEnd.set_value();
+  first.mReset.set_value();
   mClock.WaitForTicks();
   AdvanceInSteps(milliseconds(2000));
   const std::string text = TextOf(std::move(answer));
@@ -266,7 +266,7 @@
   AwaitRefusal();
   AdvanceInSteps(seconds(1));
   const std::string text = TextOf(std::move(answer));
-  first.mEnd.set_value();
+  first.mReset.set_value();
   EXPECT_TRUE(Has(text, "data: b")) << text;
   EXPECT_TRUE(Has(text, kStreamEnd)) << text;
 }
@@ -297,7 +297,7 @@
   FirstReplica().mEpoch += 1;
   Publish();
   mClock.WaitForTicks();
-  first.mEnd.set_value();
+  first.mReset.set_value();
   const std::string text = TextOf(std::move(answer));
   EXPECT_EQ(first.mRequests, 2);
   EXPECT_TRUE(Has(text, "data: b")) << text;
@@ -328,7 +328,7 @@
   mPlan.mReplicas["pool"][2].mSuspended = false;
   Publish();
   AdvanceInSteps(milliseconds(300));
-  first.mEnd.set_value();
+  first.mReset.set_value();
   AdvanceInSteps(seconds(2));
   const std::string text = TextOf(std::move(answer));
   EXPECT_FALSE(Has(text, kStreamEnd)) << text;
@@ -359,7 +359,7 @@
   AwaitRefusal();
   mClock.Advance(milliseconds(300));
   mClock.WaitForTicks();
-  first.mEnd.set_value();
+  first.mReset.set_value();
   const proto::PlaceMessage request = AwaitSlotRequest();
   const std::set<std::uint32_t> tried(request.ask().tried().begin(), request.ask().tried().end());
   EXPECT_EQ(tried, (std::set<std::uint32_t>{ ShortId("e0"), ShortId("e2") }));
@@ -405,8 +405,8 @@
   EXPECT_EQ(silent.mRequests, 1);
   EXPECT_EQ(sound.Requests(), 1);
   EXPECT_TRUE(Has(text, kStreamEnd)) << text;
-  silent.mEnd.set_value();
-  first.mEnd.set_value();
+  silent.mReset.set_value();
+  first.mReset.set_value();
   TextOf(std::move(other));
 }
 
