--- a/src/pepperbay/relay/connection_pool_test.cpp
+++ b/src/pepperbay/relay/connection_pool_test.cpp
@@ -17,7 +17,7 @@
     }
   }
   EXPECT_GE(MaxIdleConnections(404, 8), 8U);
-  EXPECT_GE(MaxIdleConnections(0, 1300), 1U) << "an engine that names no bound";
+  EXPECT_GE(MaxIdleConnections(0, 1300), 1U) << "an engine that states no limit";
 }
 
 } // namespace
--- a/src/pepperbay/relay/connector_reachability_test.cpp
+++ b/src/pepperbay/relay/connector_reachability_test.cpp
@@ -93,7 +93,7 @@
       "e0", world.mClock.Now(), [&seen](bool aReachable) { seen.push_back(aReachable); });
     world.Run(milliseconds(150));
   }
-  EXPECT_EQ(std::count(seen.begin(), seen.end(), true), 2) << "each second look is at e2";
+  EXPECT_EQ(std::count(seen.begin(), seen.end(), true), 2) << "every second probe is at e2";
   EXPECT_EQ(seen.size(), 4U);
   EXPECT_EQ(world.mDirectPathDownEvents, 0);
 }
--- a/src/pepperbay/relay/event_splitter_test.cpp
+++ b/src/pepperbay/relay/event_splitter_test.cpp
@@ -32,7 +32,7 @@
   EXPECT_FALSE(event->mId);
 }
 
-/// Guards against quadratic time: if each piece restarted the search for the end of the event from
+/// Guards against quadratic run time: if each piece restarted the search for the event's end from
 /// its beginning, this test would take minutes.
 TEST(EventSplitter, AnUnterminatedEventIsScannedOnce)
 {
--- a/src/pepperbay/relay/relay_attempts_test.cpp
+++ b/src/pepperbay/relay/relay_attempts_test.cpp
@@ -73,7 +73,7 @@
       }
       std::this_thread::yield();
     }
-    ADD_FAILURE() << "the desk was not asked";
+    ADD_FAILURE() << "no request to the slot allocator within 10 s";
     return {};
   }
 
--- a/src/pepperbay/relay/relay_pooled_connections_test.cpp
+++ b/src/pepperbay/relay/relay_pooled_connections_test.cpp
@@ -129,7 +129,8 @@
   for (int i = 0; i < 4; ++i) {
     EXPECT_EQ(StatusOf(Ask(Get("/safe/"))), 200);
   }
-  EXPECT_EQ(std::min(first.Requests(), second.Requests()), 0) << "the same one each time";
+  EXPECT_EQ(std::min(first.Requests(), second.Requests()), 0)
+    << "all requests go to the same engine";
 }
 
 /// Guards against counting a new connection to the same engine as a second engine: on this route a
--- a/src/pepperbay/relay/relay_suspects_test.cpp
+++ b/src/pepperbay/relay/relay_suspects_test.cpp
@@ -181,13 +181,13 @@
   while (engine.Connections() == engine.Requests() && std::chrono::steady_clock::now() < deadline) {
     std::this_thread::yield();
   }
-  ASSERT_GT(engine.Connections(), engine.Requests()) << "it is connected to once more";
+  ASSERT_GT(engine.Connections(), engine.Requests()) << "the relay probes whether it still listens";
   EXPECT_EQ(StatusOf(AskStream()), 502); // after this answer the relay has handled that connection
   EXPECT_TRUE(WaitForExits(0).empty());
   EXPECT_EQ(Counters().mEnginesExited, 0U);
 }
 
-/// Guards against nodes that keep sending a request which ends an engine each time.
+/// Guards against nodes that keep sending a request which makes an engine exit each time.
 TEST_F(RelaySuspects, ARequestThatIsQuarantinedIsRefusedAtOnceAndReachesNoEngine)
 {
   RawEngine engine([](RawConnection& aConnection) {
--- a/src/pepperbay/relay/relay_test.cpp
+++ b/src/pepperbay/relay/relay_test.cpp
@@ -492,7 +492,7 @@
   const auto at = hurried.find("Retry-After: ");
   ASSERT_NE(at, std::string::npos) << hurried;
   EXPECT_LE(std::stod(hurried.substr(at + 13)), seconds(options.mRetryAfter))
-    << "no later than the caller can wait";
+    << "Retry-After must not exceed what the caller can wait";
 }
 
 } // namespace
