--- a/src/pepperbay/relay/connector_sight_test.cpp
+++ b/src/pepperbay/relay/connector_reachability_test.cpp
@@ -1,4 +1,4 @@
-/// Engines that fall silent for a moment beside a node that judges its own paths.
+/// Engines that pause for a moment while the node checks whether its own direct path is down.
 #include "connector_world.hpp"
 
 #include <algorithm>
@@ -16,9 +16,9 @@
   return { { "p0", "", "", "c0" }, { "p1", "", "", "c1" } };
 }
 
-/// Guards against an idle node that takes itself for cut since the one engine that it connects to
-/// paused, and is reached by a peer a moment later.
-TEST(ConnectorSight, APauseOfOneEngineMakesNoNodeBlind)
+/// Guards against a false direct-path-down on an idle node: the one engine it connects to pauses,
+/// and a peer reaches that engine a moment later.
+TEST(ConnectorReachability, APauseOfOneEngineIsNoPathFailure)
 {
   for (int pause = 1; pause < 120; ++pause) {
     ConnectorWorld world(5);
@@ -27,13 +27,13 @@
     world.mPausedUntil["e0"] = world.mClock.Now() + milliseconds(pause);
     world.Request(0);
     world.Run(milliseconds(300));
-    EXPECT_EQ(world.mAvoided, 0) << "a pause of " << pause << " ms";
+    EXPECT_EQ(world.mDirectPathDownEvents, 0) << "a pause of " << pause << " ms";
   }
 }
 
-/// Guards against a node that takes itself for cut since two engines paused at once, and were
-/// reached by a peer a moment later: only the first of the two faults is checked at another engine.
-TEST(ConnectorSight, APauseOfTwoEnginesMakesNoNodeBlind)
+/// Guards against a false direct-path-down when two engines pause at once and a peer reaches them a
+/// moment later. Only the first of the two faults is checked against another engine.
+TEST(ConnectorReachability, APauseOfTwoEnginesIsNoPathFailure)
 {
   for (int pause = 1; pause < 120; ++pause) {
     ConnectorWorld world(5);
@@ -44,12 +44,12 @@
     world.mConnector.Connect(world.mEngines[0], [](const EngineConnection&) {});
     world.mConnector.Connect(world.mEngines[1], [](const EngineConnection&) {});
     world.Run(milliseconds(300));
-    EXPECT_EQ(world.mAvoided, 0) << "a pause of " << pause << " ms";
+    EXPECT_EQ(world.mDirectPathDownEvents, 0) << "a pause of " << pause << " ms";
   }
 }
 
-/// The same where the second pauses longer, and is the one by which the node judges its sight.
-TEST(ConnectorSight, APauseOfTheEngineThatIsLookedAtMakesNoNodeBlind)
+/// As above, but the second engine pauses longer and is the one used for the reachability check.
+TEST(ConnectorReachability, APauseOfTheProbedEngineIsNoPathFailure)
 {
   for (int pause = 1; pause < 120; ++pause) {
     for (int other = 1; other < 5; ++other) {
@@ -60,13 +60,13 @@
       world.mPausedUntil["e" + std::to_string(other)] = world.mClock.Now() + seconds(1);
       world.Request(0);
       world.Run(milliseconds(300));
-      EXPECT_EQ(world.mAvoided, 0) << "a pause of " << pause << " ms, other " << other;
+      EXPECT_EQ(world.mDirectPathDownEvents, 0) << "a pause of " << pause << " ms, other " << other;
     }
   }
 }
 
-/// Guards against a node that is cut and goes on trying its own connections.
-TEST(ConnectorSight, ACutIsKnownSoonAfterTheFirstPathFault)
+/// Guards against a node that goes on trying its own connections after its direct path is down.
+TEST(ConnectorReachability, APathFailureIsDetectedSoonAfterTheFirstFault)
 {
   for (const PathKind cut : { PathKind::kSilent, PathKind::kRefuses }) {
     ConnectorWorld world(5);
@@ -79,9 +79,9 @@
   }
 }
 
-/// Guards against a node that takes itself for cut since the one engine that it asks, to judge its
-/// own sight, pauses at that moment. It says that it has no word, and no more.
-TEST(ConnectorSight, ALookAtAnEngineThatPausesMakesNoNodeBlind)
+/// Guards against a false direct-path-down when the engine used for a reachability check pauses at
+/// that moment. Such a check reports no reachability, and has no further effect.
+TEST(ConnectorReachability, AProbeOfAPausingEngineIsNoPathFailure)
 {
   ConnectorWorld world(3);
   world.SetPeers(TwoPeers());
@@ -90,16 +90,17 @@
   std::vector<bool> seen;
   for (int i = 0; i < 4; ++i) {
     world.mConnector.CheckReachability(
-      "e0", world.mClock.Now(), [&seen](bool aSees) { seen.push_back(aSees); });
+      "e0", world.mClock.Now(), [&seen](bool aReachable) { seen.push_back(aReachable); });
     world.Run(milliseconds(150));
   }
-  EXPECT_EQ(std::count(seen.begin(), seen.end(), true), 2) << "each second look is at e2";
+  EXPECT_EQ(std::count(seen.begin(), seen.end(), true), 2) << "every second probe is at e2";
   EXPECT_EQ(seen.size(), 4U);
-  EXPECT_EQ(world.mAvoided, 0);
+  EXPECT_EQ(world.mDirectPathDownEvents, 0);
 }
 
-/// Guards against a node that hears one engine only, and takes itself for cut while that pauses.
-TEST(ConnectorSight, APauseOfTheOnlyEngineLatelyHeardMakesNoNodeBlind)
+/// Guards against a false direct-path-down on a node that receives data from one engine only, while
+/// that engine pauses.
+TEST(ConnectorReachability, APauseOfTheOnlyRecentlyActiveEngineIsNoPathFailure)
 {
   for (int pause = 1; pause < 1500; pause += 7) {
     ConnectorWorld world(5);
@@ -111,23 +112,23 @@
       world.mConnector.ProbeIfDue(world.mEngines[0]);
       world.Run(milliseconds(200));
     }
-    EXPECT_EQ(world.mAvoided, 0) << "a pause of " << pause << " ms";
+    EXPECT_EQ(world.mDirectPathDownEvents, 0) << "a pause of " << pause << " ms";
   }
 }
 
-/// Guards against a node that is cut and has a word on engines.
-TEST(ConnectorSight, ANodeThatIsCutFindsNoSight)
+/// Guards against a positive reachability check on a node that reaches no engine.
+TEST(ConnectorReachability, ANodeWithoutADirectPathReportsNoReachability)
 {
   for (const PathKind cut : { PathKind::kSilent, PathKind::kRefuses }) {
     ConnectorWorld world(5);
     world.SetPeers(TwoPeers());
     world.mPath = cut;
-    std::optional<bool> sees;
+    std::optional<bool> reachable;
     world.mConnector.CheckReachability(
-      "e0", world.mClock.Now(), [&sees](bool aSees) { sees = aSees; });
+      "e0", world.mClock.Now(), [&reachable](bool aReachable) { reachable = aReachable; });
     world.Run(milliseconds(150));
-    ASSERT_TRUE(sees.has_value());
-    EXPECT_FALSE(*sees);
+    ASSERT_TRUE(reachable.has_value());
+    EXPECT_FALSE(*reachable);
   }
 }
 
--- a/src/pepperbay/relay/connector_world.hpp
+++ b/src/pepperbay/relay/connector_world.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// @brief A connector of one node before engines and peers that exist in virtual time only.
+/// @brief An engine connector with simulated engines and peers, in virtual time.
 #pragma once
 
 #include "engine_connector.hpp"
@@ -15,18 +15,18 @@
 enum class PathKind
 {
   kOpen,
-  kSilent, ///< nothing comes through
+  kSilent, ///< packets are dropped
   kRefuses,
 };
 
 enum class PeerKind
 {
-  kCarries,
-  kLate,   ///< carries, and takes long to answer
-  kFull,   ///< carries nothing now
-  kFrozen, ///< takes the question and says nothing
+  kTunnels,
+  kLate,   ///< opens tunnels, but answers slowly
+  kFull,   ///< opens no tunnel at the moment
+  kFrozen, ///< accepts the request and never answers
   kGone,   ///< no process listens
-  kCut,    ///< reaches no engine either, on silent paths
+  kCut,    ///< reaches no engine either: its paths are silent
 };
 
 class ConnectorWorld
@@ -34,7 +34,7 @@
 public:
   static constexpr std::chrono::milliseconds kRoundTrip{ 4 };
   static constexpr std::chrono::milliseconds kLate{ 16 };
-  static constexpr std::chrono::seconds kRetransmission{ 1 }; ///< of a lost SYN
+  static constexpr std::chrono::seconds kRetransmission{ 1 }; ///< time-out of a lost SYN
 
   explicit ConnectorWorld(int aEngines, const std::string& aNode = "node")
     : mConnector(mContext, Options(aNode), Hooks())
@@ -50,7 +50,7 @@
     mConnector.SetPeers(std::make_shared<const ProxyPeers>(aPeers));
   }
 
-  /// Let time pass. Ticks come at any phase.
+  /// Advances the time in steps of 1 ms and runs what is due. Ticks keep their phase over calls.
   void Run(Duration aFor)
   {
     constexpr std::chrono::milliseconds kStep{ 1 };
@@ -68,8 +68,8 @@
     }
   }
 
-  /// @return whether one connection to an engine stands.
-  bool Connects(std::size_t aEngine)
+  /// @return whether a connection to the engine was established.
+  bool CanConnect(std::size_t aEngine)
   {
     std::optional<bool> stands;
     mConnector.Connect(mEngines[aEngine], [&stands](const EngineConnection& aConnection) {
@@ -81,14 +81,15 @@
     return *stands;
   }
 
-  /// One request without a kept connection, that goes on to other engines as the relay does.
-  /// @return how long it took until a connection stood; nothing where none did
+  /// Simulates one request that finds no pooled connection. Like the relay, it tries other engines
+  /// when a connection fails.
+  /// @return the time until a connection was established, or std::nullopt if all attempts failed
   std::optional<Duration> Request(std::size_t aFirst)
   {
     constexpr std::size_t kConnects = 3;
     const TimePoint begun = mClock.Now();
     for (std::size_t i = 0; i < kConnects; ++i) {
-      if (Connects((aFirst + i) % mEngines.size())) {
+      if (CanConnect((aFirst + i) % mEngines.size())) {
         return mClock.Now() - begun;
       }
     }
@@ -102,14 +103,14 @@
   }
 
   ManualClock mClock;
-  PathKind mPath = PathKind::kOpen;              ///< of this node to all engines
-  std::map<std::string, PathKind> mPathTo;       ///< to single engines, where it is another
-  std::map<std::string, TimePoint> mPausedUntil; ///< engines whose kernel takes no connection
-  std::map<std::string, PeerKind> mPeerKinds;    ///< others carry
+  PathKind mPath = PathKind::kOpen;              ///< from this node to all engines
+  std::map<std::string, PathKind> mPathTo;       ///< exceptions for single engines
+  std::map<std::string, TimePoint> mPausedUntil; ///< engines that accept no connection
+  std::map<std::string, PeerKind> mPeerKinds;    ///< default: kTunnels
   std::vector<AttemptTarget> mEngines;
-  Duration mTick = std::chrono::milliseconds(20); ///< as the relay has it
-  int mAvoided = 0;                               ///< times that the node has taken itself for cut
-  int mAsked = 0;                                 ///< questions to peers
+  Duration mTick = std::chrono::milliseconds(20); ///< default of the relay
+  int mDirectPathDownEvents = 0;                  ///< times that the direct path was found down
+  int mTunnelRequests = 0;                        ///< tunnel requests to peers
 
 private:
   static EngineConnectorOptions Options(const std::string& aNode)
@@ -124,7 +125,7 @@
   {
     EngineConnectorHooks hooks;
     hooks.mNow = mClock.Hook();
-    hooks.mOnDirectPathChange = [this](bool aDown) { mAvoided += aDown ? 1 : 0; };
+    hooks.mOnDirectPathChange = [this](bool aDown) { mDirectPathDownEvents += aDown ? 1 : 0; };
     hooks.mEngines = [this] { return mEngines; };
     hooks.mOnTunnelled = [] {};
     hooks.mOnProbeConnected = [](const AttemptTarget&, const EngineSocket&) {};
@@ -136,9 +137,9 @@
                             const std::string& aAddress,
                             const TunnelRequest& aRequest,
                             const TunnelOpening::Done& aDone) {
-      ++mAsked;
+      ++mTunnelRequests;
       Ask(aPeer.mNode, aAddress, aRequest, aDone);
-      return [] {}; // one that is over takes no answer
+      return [] {}; // cancelling does nothing: late answers are ignored
     };
     return hooks;
   }
@@ -168,12 +169,12 @@
            const TunnelOpening::Done& aDone)
   {
     const auto it = mPeerKinds.find(aPeer);
-    switch (it == mPeerKinds.end() ? PeerKind::kCarries : it->second) {
-      case PeerKind::kCarries:
-        After(kRoundTrip, [=] { Carry(aAddress, aRequest, aDone); });
+    switch (it == mPeerKinds.end() ? PeerKind::kTunnels : it->second) {
+      case PeerKind::kTunnels:
+        After(kRoundTrip, [=] { OpenTunnel(aAddress, aRequest, aDone); });
         return;
       case PeerKind::kLate:
-        After(kRoundTrip + kLate, [=] { Carry(aAddress, aRequest, aDone); });
+        After(kRoundTrip + kLate, [=] { OpenTunnel(aAddress, aRequest, aDone); });
         return;
       case PeerKind::kFull:
         After(kRoundTrip, [aDone] { aDone({ TunnelAnswer::kNotNow, false, std::nullopt }); });
@@ -189,9 +190,9 @@
     }
   }
 
-  void Carry(const std::string& aAddress,
-             const TunnelRequest& aRequest,
-             const TunnelOpening::Done& aDone)
+  void OpenTunnel(const std::string& aAddress,
+                  const TunnelRequest& aRequest,
+                  const TunnelOpening::Done& aDone)
   {
     if (Paused(aAddress)) {
       After(aRequest.mWithin, [aDone] { aDone({ TunnelAnswer::kSilent, true, std::nullopt }); });
--- a/src/pepperbay/relay/event_splitter_test.cpp
+++ b/src/pepperbay/relay/event_splitter_test.cpp
@@ -6,7 +6,7 @@
 namespace pepperbay {
 namespace {
 
-TEST(EventSplitter, GivesWholeEventsOnly)
+TEST(EventSplitter, ReturnsCompleteEventsOnly)
 {
   EventSplitter splitter;
   splitter.Feed("id: 1\ndata: a\n\nid: 2\nda");
@@ -32,9 +32,9 @@
   EXPECT_FALSE(event->mId);
 }
 
-/// Looking for the end of an event from its beginning with each piece takes the square of its
-/// length: this test would take minutes.
-TEST(EventSplitter, AnEventWithoutEndIsLookedThroughOnce)
+/// Guards against quadratic run time: if each piece restarted the search for the event's end from
+/// its beginning, this test would take minutes.
+TEST(EventSplitter, AnUnterminatedEventIsScannedOnce)
 {
   constexpr std::size_t kPiece = 256;
   constexpr std::size_t kAll = std::size_t{ 64 } << 20U;
@@ -52,8 +52,8 @@
   EXPECT_EQ(splitter.Next()->mBytes.size(), kAll + 4);
 }
 
-/// However the bytes are cut, the same events come out, and nothing is lost between them.
-RC_GTEST_PROP(EventSplitter, CutsDoNotMatter, ())
+/// The events do not depend on how the bytes are split into pieces, and no bytes are lost.
+RC_GTEST_PROP(EventSplitter, EventsDoNotDependOnHowBytesAreSplit, ())
 {
   std::string all;
   const auto count = *rc::gen::inRange(0, 20);
--- a/src/pepperbay/relay/relay_attempts_test.cpp
+++ b/src/pepperbay/relay/relay_attempts_test.cpp
@@ -1,4 +1,4 @@
-/// How many engines a stream is sent to, and which of them may have it once more.
+/// How many engines a stream is sent to, and which of them it may be sent to again.
 #include "pepperbay/base/hash.hpp"
 #include "relay_moves_fixture.hpp"
 
@@ -12,26 +12,26 @@
 
 using std::chrono::milliseconds;
 
-/// After this a head whose replica is called lost counts as one that stands still.
-constexpr milliseconds kStandsStill{ 200 };
+/// After this time without data, the head of a replica reported as lost counts as stalled.
+constexpr milliseconds kStallTimeout{ 200 };
 
 class RelayAttempts : public RelayMoves
 {
 protected:
-  /// An engine that refuses some requests, then serves.
+  /// An engine that refuses the first requests and serves the later ones.
   static RawEngine::Script RefuseFirst(int aRefusals, std::atomic<int>* aRequests)
   {
     return [aRefusals, aRequests](RawConnection& aConnection) {
       if (aConnection.ReadRequest().empty()) {
-        return; // it was only tried whether it listens
+        return; // a probe that only checks whether the engine listens
       }
       aConnection.Write(++*aRequests <= aRefusals ? std::string(kRefusal)
                                                   : StreamHead() + kEventB + kStreamEnd);
     };
   }
 
-  /// An engine that writes an event and ends its connection when it is told to; from then on it
-  /// serves.
+  /// An engine that answers the first request with one event and resets that connection on command.
+  /// It serves all later requests.
   struct FirstEngine
   {
     void Script(RawConnection& aConnection)
@@ -45,26 +45,27 @@
       }
       aConnection.Write(StreamHead() + kEventA);
       mBegan.set_value();
-      mEnd.get_future().wait();
+      mReset.get_future().wait();
       aConnection.Reset();
     }
 
     std::atomic<int> mRequests{ 0 };
     std::promise<void> mBegan;
-    std::promise<void> mEnd;
+    std::promise<void> mReset;
     RawEngine mEngine{ [this](RawConnection& aConnection) { Script(aConnection); } };
   };
 
-  /// Wait for the next question to the desk. @return it; an empty one when none comes
-  proto::PlaceMessage AwaitQuestion()
+  /// Waits up to 10 s for the next request to the slot allocator.
+  /// @return the request; an empty message if there was none
+  proto::PlaceMessage AwaitSlotRequest()
   {
     const TimePoint until = BootClock::now() + seconds(10);
     while (BootClock::now() < until) {
       {
-        const std::lock_guard<std::mutex> lock(mEndsMutex);
-        while (mQuestionsSeen < mSentToDesks.size()) {
+        const std::lock_guard<std::mutex> lock(mRecordsMutex);
+        while (mMessagesRead < mSentToAllocators.size()) {
           proto::PlaceMessage message;
-          message.ParseFromString(mSentToDesks[mQuestionsSeen++]);
+          message.ParseFromString(mSentToAllocators[mMessagesRead++]);
           if (message.has_ask()) {
             return message;
           }
@@ -72,18 +73,18 @@
       }
       std::this_thread::yield();
     }
-    ADD_FAILURE() << "the desk was not asked";
+    ADD_FAILURE() << "no request to the slot allocator within 10 s";
     return {};
   }
 
-  /// The desk grants a place at the n-th engine.
-  void Grant(const proto::PlaceMessage& aQuestion, std::size_t aEngine)
+  /// Sends the slot allocator's answer: a slot granted at the engine with this index.
+  void Grant(const proto::PlaceMessage& aRequest, std::size_t aEngine)
   {
     const PoolReplica& replica = mPlan.mReplicas["pool"][aEngine];
     proto::PlaceMessage message;
     message.set_node("desk");
     auto* answer = message.mutable_answer();
-    answer->set_id(aQuestion.ask().id());
+    answer->set_id(aRequest.ask().id());
     answer->set_outcome(proto::PlaceAnswer::GRANTED);
     answer->set_group(replica.mGroup);
     answer->set_epoch(replica.mEpoch);
@@ -94,18 +95,18 @@
                [this, bytes = message.SerializeAsString()] { mRelay->OnAllocatorMessage(bytes); });
   }
 
-  std::size_t mQuestionsSeen = 0;
+  std::size_t mMessagesRead = 0;
 
   void AwaitRefusal() const
   {
-    while (mRefusals == 0) {
+    while (mRefusalReports == 0) {
       std::this_thread::yield();
     }
   }
 };
 
-/// Guards against a stream that is cut when its first engine dies, since a refusal of its second
-/// engine has used up those that its route allows.
+/// Guards against cutting a stream when its first engine dies because an earlier refusal by the
+/// second engine counts towards the route's maximum number of engines.
 TEST_F(RelayAttempts, AnEngineThatHasRefusedTakesTheStreamWhoseFirstEngineDies)
 {
   FirstEngine first;
@@ -117,18 +118,18 @@
   mClock.WaitForTicks();
   FirstReplica().mLost = true;
   OfferSecond();
-  Pass(kStandsStill);
+  AdvanceInSteps(kStallTimeout);
   AwaitRefusal();
-  Pass(milliseconds(300));
-  EXPECT_EQ(requests, 1) << "asked again while its first engine may only pause";
-  first.mEnd.set_value();
+  AdvanceInSteps(milliseconds(300));
+  EXPECT_EQ(requests, 1) << "asked again although the first engine may only be paused";
+  first.mReset.set_value();
   const std::string text = TextOf(std::move(answer));
   EXPECT_EQ(requests, 2);
   EXPECT_TRUE(Has(text, "data: b")) << text;
   EXPECT_TRUE(Has(text, kStreamEnd)) << text;
 }
 
-/// The same on a route that allows more engines than there are.
+/// As above, on a route that allows more engines than there are.
 TEST_F(RelayAttempts, AnEngineThatHasRefusedTakesTheStreamOfARouteThatAllowsMoreEngines)
 {
   mStreamAttempts = 3;
@@ -141,21 +142,21 @@
   mClock.WaitForTicks();
   FirstReplica().mLost = true;
   OfferSecond();
-  Pass(kStandsStill);
+  AdvanceInSteps(kStallTimeout);
   AwaitRefusal();
-  Pass(milliseconds(300));
-  first.mEnd.set_value();
+  AdvanceInSteps(milliseconds(300));
+  first.mReset.set_value();
   mClock.WaitForTicks();
-  Pass(milliseconds(2000));
+  AdvanceInSteps(milliseconds(2000));
   const std::string text = TextOf(std::move(answer));
   EXPECT_EQ(requests, 2);
   EXPECT_TRUE(Has(text, "data: b")) << text;
 }
 
-/// A listener that takes no connection: its queue is full.
-struct DeafListener
+/// A listener that accepts no connection because its backlog is full.
+struct FullBacklogListener
 {
-  DeafListener()
+  FullBacklogListener()
   {
     mListener = ::socket(AF_INET, SOCK_STREAM, 0);
     sockaddr_in address{};
@@ -168,12 +169,12 @@
     mAddress = "127.0.0.1:" + std::to_string(ntohs(address.sin_port));
     for (int i = 0; i < 4; ++i) {
       const int socket = ::socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK, 0);
-      // Under way, or taken: both fill the queue.
+      // Pending and established connections both fill the backlog.
       static_cast<void>(::connect(socket, reinterpret_cast<sockaddr*>(&address), sizeof(address)));
       mSockets.push_back(socket);
     }
   }
-  ~DeafListener()
+  ~FullBacklogListener()
   {
     for (const int it : mSockets) {
       ::close(it);
@@ -185,44 +186,44 @@
   std::vector<int> mSockets;
 };
 
-/// Guards against a pause, in which a second engine took no connection, that costs a stream that
-/// engine for good: it goes on nowhere once its first engine ends.
+/// Guards against excluding a second engine permanently after a pause in which it accepted no
+/// connection: the stream could not continue anywhere once its first engine exits.
 TEST_F(RelayAttempts, AnEngineThatPausedTakesTheStreamWhoseFirstEngineDies)
 {
   FirstEngine first;
   std::atomic<int> requests{ 0 };
   RawEngine second(RefuseFirst(0, &requests));
-  DeafListener deaf;
+  FullBacklogListener unresponsive;
   Serve({ &first.mEngine, &second });
   const std::string address = mPlan.mReplicas["pool"][1].mHead.mAddress;
   auto answer = AskStream();
   first.mBegan.get_future().wait();
   mClock.WaitForTicks();
   FirstReplica().mLost = true;
-  mPlan.mReplicas["pool"][1].mHead.mAddress = deaf.mAddress;
+  mPlan.mReplicas["pool"][1].mHead.mAddress = unresponsive.mAddress;
   OfferSecond();
-  Pass(milliseconds(600)); // both pause
+  AdvanceInSteps(milliseconds(600)); // both pause
   EXPECT_GE(Counters().mConnectsFailed["connect: no answer"], 1U);
   FirstReplica().mLost = false;
   mPlan.mReplicas["pool"][1].mHead.mAddress = address;
   Publish();
-  Pass(milliseconds(200)); // both are well
-  first.mEnd.set_value();
+  AdvanceInSteps(milliseconds(200)); // both have recovered
+  first.mReset.set_value();
   mClock.WaitForTicks();
-  Pass(milliseconds(2000));
+  AdvanceInSteps(milliseconds(2000));
   const std::string text = TextOf(std::move(answer));
   EXPECT_EQ(requests, 1);
   EXPECT_TRUE(Has(text, "data: b")) << text;
 }
 
-/// Guards against a pause of three engines, which took no connection, that leaves a stream with no
-/// second attempt for good, though other engines are well.
+/// Guards against a stream that has no second attempt left after three engines paused and accepted
+/// no connection, although another engine is healthy.
 TEST_F(RelayAttempts, AStreamThatMetThreePausesGoesOnAtAFourthEngine)
 {
   FirstEngine first;
   std::atomic<int> requests{ 0 };
   RawEngine fourth(RefuseFirst(0, &requests));
-  DeafListener deaf;
+  FullBacklogListener unresponsive;
   Serve({ &first.mEngine, &fourth });
   auto answer = AskStream();
   first.mBegan.get_future().wait();
@@ -230,25 +231,26 @@
   for (const char* id : { "d1", "d2", "d3" }) {
     PoolReplica replica = mPlan.mReplicas["pool"][0];
     replica.mGroup = std::string("r") + id;
-    replica.mHead = { id, deaf.mAddress, "" };
+    replica.mHead = { id, unresponsive.mAddress, "" };
     mPlan.mReplicas["pool"].push_back(replica);
   }
   FirstReplica().mLost = true;
   Publish();
-  Pass(milliseconds(1500)); // all of them pause
+  AdvanceInSteps(milliseconds(1500)); // all of them pause
   EXPECT_GE(Counters().mConnectsFailed["connect: no answer"], 3U);
   FirstReplica().mLost = false;
   OfferSecond();
-  Pass(milliseconds(200));
-  first.mEnd.set_value();
+  AdvanceInSteps(milliseconds(200));
+  first.mReset.set_value();
   mClock.WaitForTicks();
-  Pass(milliseconds(2000));
+  AdvanceInSteps(milliseconds(2000));
   const std::string text = TextOf(std::move(answer));
   EXPECT_EQ(requests, 1);
   EXPECT_TRUE(Has(text, "data: b")) << text;
 }
 
-/// The same where the first engine is dark: nothing of its end shows.
+/// As `AnEngineThatHasRefusedTakesTheStreamWhoseFirstEngineDies`, but the first engine stays silent
+/// and its connection is never closed.
 TEST_F(RelayAttempts, AnEngineThatHasRefusedTakesTheStreamWhoseFirstEngineStaysSilent)
 {
   FirstEngine first;
@@ -260,17 +262,18 @@
   mClock.WaitForTicks();
   FirstReplica().mLost = true;
   OfferSecond();
-  Pass(kStandsStill);
+  AdvanceInSteps(kStallTimeout);
   AwaitRefusal();
-  Pass(seconds(1));
+  AdvanceInSteps(seconds(1));
   const std::string text = TextOf(std::move(answer));
-  first.mEnd.set_value();
+  first.mReset.set_value();
   EXPECT_TRUE(Has(text, "data: b")) << text;
   EXPECT_TRUE(Has(text, kStreamEnd)) << text;
 }
 
-/// Guards against a stream that is cut though the head that worked on it has formed anew.
-TEST_F(RelayAttempts, AHeadThatHasFormedAnewTakesItsStreamAgain)
+/// Guards against cutting a stream although the replica of its first head was re-formed under the
+/// same head, which can take the stream again.
+TEST_F(RelayAttempts, AHeadOfAReformedReplicaTakesItsStreamAgain)
 {
   FirstEngine first;
   std::promise<void> asked;
@@ -287,21 +290,21 @@
   mClock.WaitForTicks();
   FirstReplica().mLost = true;
   OfferSecond();
-  Pass(kStandsStill);
+  AdvanceInSteps(kStallTimeout);
   asked.get_future().wait();
-  AwaitLine("attempt_failed");
+  AwaitLogLine("attempt_failed");
   FirstReplica().mLost = false;
   FirstReplica().mEpoch += 1;
   Publish();
   mClock.WaitForTicks();
-  first.mEnd.set_value();
+  first.mReset.set_value();
   const std::string text = TextOf(std::move(answer));
   EXPECT_EQ(first.mRequests, 2);
   EXPECT_TRUE(Has(text, "data: b")) << text;
   EXPECT_TRUE(Has(text, kStreamEnd)) << text;
 }
 
-/// Guards against a stream that is sent to more engines than its route allows.
+/// Guards against sending a stream to more engines than its route allows.
 TEST_F(RelayAttempts, AStreamIsSentToNoThirdEngineWhateverTheOthersDo)
 {
   constexpr int kAlways = 1000;
@@ -320,22 +323,22 @@
   mClock.WaitForTicks();
   FirstReplica().mLost = true;
   OfferSecond();
-  Pass(kStandsStill);
+  AdvanceInSteps(kStallTimeout);
   AwaitRefusal();
   mPlan.mReplicas["pool"][2].mSuspended = false;
   Publish();
-  Pass(milliseconds(300));
-  first.mEnd.set_value();
-  Pass(seconds(2));
+  AdvanceInSteps(milliseconds(300));
+  first.mReset.set_value();
+  AdvanceInSteps(seconds(2));
   const std::string text = TextOf(std::move(answer));
   EXPECT_FALSE(Has(text, kStreamEnd)) << text;
   EXPECT_EQ(third.Requests(), 0);
-  EXPECT_EQ(requests, 2) << "once more, and no third time";
+  EXPECT_EQ(requests, 2) << "sent to the second engine again, but not a third time";
 }
 
-/// Guards against a stream that a desk, which does not know how many engines it was sent to, sends
-/// to one more than its route allows.
-TEST_F(RelayAttempts, APlaceAtAThirdEngineIsGivenBack)
+/// Guards against exceeding the route's maximum number of engines because of a slot allocator,
+/// which does not know how many engines the stream was sent to.
+TEST_F(RelayAttempts, ASlotAtAThirdEngineIsReleased)
 {
   FirstEngine first;
   std::atomic<int> requests{ 0 };
@@ -346,33 +349,33 @@
   Serve({ &first.mEngine, &second, &third });
   OfferSecond();
   auto answer = AskStream();
-  Grant(AwaitQuestion(), 0);
+  Grant(AwaitSlotRequest(), 0);
   first.mBegan.get_future().wait();
   mClock.WaitForTicks();
   FirstReplica().mLost = true;
   Publish();
-  mClock.Advance(kStandsStill);
-  Grant(AwaitQuestion(), 1);
+  mClock.Advance(kStallTimeout);
+  Grant(AwaitSlotRequest(), 1);
   AwaitRefusal();
   mClock.Advance(milliseconds(300));
   mClock.WaitForTicks();
-  first.mEnd.set_value();
-  const proto::PlaceMessage question = AwaitQuestion();
-  const std::set<std::uint32_t> tried(question.ask().tried().begin(), question.ask().tried().end());
+  first.mReset.set_value();
+  const proto::PlaceMessage request = AwaitSlotRequest();
+  const std::set<std::uint32_t> tried(request.ask().tried().begin(), request.ask().tried().end());
   EXPECT_EQ(tried, (std::set<std::uint32_t>{ ShortId("e0"), ShortId("e2") }));
-  Grant(question, 2);
+  Grant(request, 2);
   mClock.WaitForTicks();
   mClock.Advance(milliseconds(250));
-  Grant(AwaitQuestion(), 1);
+  Grant(AwaitSlotRequest(), 1);
   const std::string text = TextOf(std::move(answer));
   EXPECT_TRUE(Has(text, "data: b")) << text;
   EXPECT_TRUE(Has(text, kStreamEnd)) << text;
   EXPECT_EQ(third.Requests(), 0);
 }
 
-/// Guards against a stream whose second engine is silent as well while another would take it: the
-/// last of the engines that its route allows is used up there.
-TEST_F(RelayAttempts, AStreamDoesNotMoveToAHeadThatStandsStillForThisNode)
+/// Guards against sending a stream to a second engine that is silent for this node as well. That
+/// uses up the last engine which the route allows, while another engine could serve the stream.
+TEST_F(RelayAttempts, AStreamDoesNotMoveToAHeadThatIsStalledForThisNode)
 {
   FirstEngine first;
   FirstEngine silent;
@@ -383,7 +386,7 @@
   Serve({ &first.mEngine, &silent.mEngine, &sound });
   auto& replicas = mPlan.mReplicas["pool"];
   replicas[2].mSuspended = true;
-  replicas[2].mHead.mDataCentre = "far"; // the other one would be chosen
+  replicas[2].mHead.mDataCentre = "far"; // makes the silent engine the preferred one
   Publish();
   auto answer = AskStream();
   first.mBegan.get_future().wait();
@@ -395,15 +398,15 @@
   mClock.WaitForTicks();
   replicas[0].mLost = true;
   replicas[2].mSuspended = false;
-  mClock.Advance(kStandsStill);
+  mClock.Advance(kStallTimeout);
   Publish();
   mClock.WaitForTicks();
   const std::string text = TextOf(std::move(answer));
   EXPECT_EQ(silent.mRequests, 1);
   EXPECT_EQ(sound.Requests(), 1);
   EXPECT_TRUE(Has(text, kStreamEnd)) << text;
-  silent.mEnd.set_value();
-  first.mEnd.set_value();
+  silent.mReset.set_value();
+  first.mReset.set_value();
   TextOf(std::move(other));
 }
 
--- a/src/pepperbay/relay/relay_endless_test.cpp
+++ b/src/pepperbay/relay/relay_endless_answers_test.cpp
@@ -1,4 +1,4 @@
-/// Engines that send bytes without end, which are no answer.
+/// Engines that send endless bytes that never form an answer.
 #include "relay_fixture.hpp"
 
 #include <future>
@@ -6,13 +6,13 @@
 namespace pepperbay {
 namespace {
 
-/// Bytes of an answer beyond what these tests let a node keep.
+/// Size in bytes of an answer that exceeds the buffer limit in these tests.
 constexpr std::size_t kLarge = std::size_t{ 1 } << 20U;
 
-class RelayEndless : public RelayTest
+class RelayEndlessAnswers : public RelayTest
 {
 protected:
-  /// Writes a piece again and again, until the relay closes.
+  /// Writes a piece repeatedly until the relay closes the connection.
   static RawEngine::Script Repeats(const std::string& aFirst, const std::string& aPiece)
   {
     return [aFirst, aPiece](RawConnection& aConnection) {
@@ -30,15 +30,15 @@
   const std::string mPiece = std::string(4096, 'a');
 };
 
-/// A caller would wait until its deadline while its engine sends interim answers.
-TEST_F(RelayEndless, InterimAnswersAreBrokenOff)
+/// Guards against a caller that waits until its deadline while the engine sends interim answers.
+TEST_F(RelayEndlessAnswers, EndlessInterimAnswersAreRejected)
 {
   RawEngine engine(Repeats("", "HTTP/1.1 102 Processing\r\n\r\n"));
   Serve({ &engine });
   EXPECT_EQ(StatusOf(Ask(Once())), 502);
 }
 
-TEST_F(RelayEndless, AFewInterimAnswersArePassedOver)
+TEST_F(RelayEndlessAnswers, AFewInterimAnswersAreSkipped)
 {
   RawEngine engine([](RawConnection& aConnection) {
     aConnection.ReadRequest();
@@ -49,24 +49,24 @@
   EXPECT_EQ(StatusOf(Ask(Once())), 200);
 }
 
-/// The process would keep all of it and be ended for its memory.
-TEST_F(RelayEndless, AHeadIsBrokenOff)
+/// Guards against running out of memory by buffering an endless header.
+TEST_F(RelayEndlessAnswers, AnEndlessHeaderIsRejected)
 {
   RawEngine engine(Repeats("HTTP/1.1 200 OK\r\nA: ", mPiece));
   Serve({ &engine });
   EXPECT_EQ(StatusOf(Ask(Once())), 502);
 }
 
-/// The same before the first byte of a chunk.
-TEST_F(RelayEndless, TheSizeOfAChunkIsBrokenOff)
+/// As above, for an endless chunk extension before the first byte of a chunk.
+TEST_F(RelayEndlessAnswers, AnEndlessChunkSizeIsRejected)
 {
   RawEngine engine(Repeats(std::string(kHead) + "Transfer-Encoding: chunked\r\n\r\n5;", mPiece));
   Serve({ &engine });
   EXPECT_EQ(StatusOf(Ask(Once())), 502);
 }
 
-/// The same after the last chunk.
-TEST_F(RelayEndless, TrailersAreBrokenOff)
+/// As above, for endless trailers after the last chunk.
+TEST_F(RelayEndlessAnswers, EndlessTrailersAreRejected)
 {
   RawEngine engine(Repeats(std::string(kHead) + "Transfer-Encoding: chunked\r\n\r\n0\r\n",
                            "A: " + mPiece + "\r\n"));
@@ -74,8 +74,8 @@
   EXPECT_EQ(StatusOf(Ask(Once())), 502);
 }
 
-/// Answers that are each within the bound would together end the process for its memory.
-TEST_F(RelayEndless, BodiesAreBoundedTogetherAndSmallAnswersServed)
+/// Guards against running out of memory by several answers that are each within the limit.
+TEST_F(RelayEndlessAnswers, BodiesAreBoundedTogetherAndSmallAnswersServed)
 {
   constexpr std::size_t kHalf = std::size_t{ 300 } << 10U;
   RelayOptions options;
@@ -104,8 +104,8 @@
   EXPECT_EQ(Counters().mBufferedBytes, 0U);
 }
 
-/// The same by events, of which each would be whole in the end.
-TEST_F(RelayEndless, EventsAreBoundedWithThem)
+/// As above, for large events, each of which would be complete in the end.
+TEST_F(RelayEndlessAnswers, EventsAreBoundedTogetherWithBodies)
 {
   RelayOptions options;
   options.mMaxBufferedBytes = std::size_t{ 512 } << 10U;
--- a/src/pepperbay/relay/relay_kept_test.cpp
+++ b/src/pepperbay/relay/relay_pooled_connections_test.cpp
@@ -1,4 +1,4 @@
-/// Requests on kept connections that their engine closes.
+/// Requests on pooled connections that the engine closes.
 #include "relay_fixture.hpp"
 
 #include <condition_variable>
@@ -9,11 +9,11 @@
 
 constexpr int kCallers = 8;
 
-/// Holds threads back until as many have come as are expected.
-class Gate
+/// Blocks threads until the expected number have arrived.
+class Barrier
 {
 public:
-  explicit Gate(int aExpected)
+  explicit Barrier(int aExpected)
     : mExpected(aExpected)
   {
   }
@@ -21,19 +21,19 @@
   void Pass()
   {
     std::unique_lock<std::mutex> lock(mMutex);
-    ++mCome;
+    ++mArrived;
     mChanged.notify_all();
-    mChanged.wait(lock, [this] { return mCome >= mExpected; });
+    mChanged.wait(lock, [this] { return mArrived >= mExpected; });
   }
 
 private:
   std::mutex mMutex;
   std::condition_variable mChanged;
   int mExpected;
-  int mCome = 0;
+  int mArrived = 0;
 };
 
-class RelayKept : public RelayTest
+class RelayPooledConnections : public RelayTest
 {
 protected:
   std::vector<int> AskAtOnce(const std::function<std::string(int)>& aRequest)
@@ -50,18 +50,19 @@
     return statuses;
   }
 
-  /// Answers the first request of each connection once all callers have one, and closes each of
-  /// these connections when the next comes. Connections that come later serve.
-  RawEngine::Script ClosesKept()
+  /// An engine that answers the first request on each of its first `kCallers` connections, once all
+  /// of these have a request, and closes each of them on its next request. Later connections serve
+  /// all requests.
+  RawEngine::Script ClosesPooled()
   {
     return [this](RawConnection& aConnection) {
-      const bool kept = mConnections++ < kCallers;
+      const bool pooled = mConnections++ < kCallers;
       while (!aConnection.ReadRequest().empty()) {
-        if (kept) {
-          mWarm.Pass();
+        if (pooled) {
+          mAllConnected.Pass();
         }
         aConnection.Write(std::string(kHead) + "Content-Length: 2\r\n\r\nok");
-        if (kept) {
+        if (pooled) {
           aConnection.ReadRequest();
           return;
         }
@@ -69,47 +70,48 @@
     };
   }
 
-  Gate mWarm{ kCallers };
+  Barrier mAllConnected{ kCallers };
   std::atomic<int> mConnections{ 0 };
 };
 
 const std::vector<int> kAllServed(kCallers, 200);
 
-/// Guards against requests that may run again failing because their engine, the only one, closed
-/// all of its kept connections at once.
-TEST_F(RelayKept, RequestsAreServedThoughAllKeptConnectionsCloseAtOnce)
+/// Guards against failures of repeatable requests when the only engine closes all of its pooled
+/// connections at once.
+TEST_F(RelayPooledConnections, RequestsAreServedThoughAllPooledConnectionsCloseAtOnce)
 {
-  RawEngine engine(ClosesKept());
+  RawEngine engine(ClosesPooled());
   Serve({ &engine });
   const auto request = [](int aCaller) { return Get("/safe/" + std::to_string(aCaller)); };
   ASSERT_EQ(AskAtOnce(request), kAllServed);
   EXPECT_EQ(AskAtOnce(request), kAllServed);
 }
 
-/// The same of requests that are equal.
-TEST_F(RelayKept, EqualRequestsAreServedThoughAllKeptConnectionsCloseAtOnce)
+/// As above, for equal requests.
+TEST_F(RelayPooledConnections, EqualRequestsAreServedThoughAllPooledConnectionsCloseAtOnce)
 {
-  RawEngine engine(ClosesKept());
+  RawEngine engine(ClosesPooled());
   Serve({ &engine });
   const auto request = [](int) { return Get("/safe/"); };
   ASSERT_EQ(AskAtOnce(request), kAllServed);
   EXPECT_EQ(AskAtOnce(request), kAllServed);
 }
 
-/// Guards against a probe of the engine for each of them, beside the connections that serve.
-TEST_F(RelayKept, NoConnectionIsMadeThatServesNothing)
+/// Guards against one probe of the engine per stale connection, in addition to the connections that
+/// serve the requests.
+TEST_F(RelayPooledConnections, NoProbeIsMadePerStaleConnection)
 {
-  RawEngine engine(ClosesKept());
+  RawEngine engine(ClosesPooled());
   Serve({ &engine });
   const auto request = [](int) { return Get("/safe/"); };
   ASSERT_EQ(AskAtOnce(request), kAllServed);
   ASSERT_EQ(AskAtOnce(request), kAllServed);
   EXPECT_GE(Counters().mStaleConnections, 1U);
   EXPECT_LE(engine.Connections(), 2 * kCallers);
-  EXPECT_TRUE(mEnds.empty());
+  EXPECT_TRUE(mExits.empty());
 }
 
-/// An engine that serves one request on each connection, and closes it when the next comes.
+/// An engine that serves one request on each connection and closes it on the next one.
 void
 ServesOne(RawConnection& aConnection)
 {
@@ -118,8 +120,8 @@
   aConnection.ReadRequest();
 }
 
-/// Guards against a sound engine being passed over after it has closed a kept connection.
-TEST_F(RelayKept, TheEngineIsNotPassedOver)
+/// Guards against avoiding a healthy engine after it has closed a pooled connection.
+TEST_F(RelayPooledConnections, TheEngineIsNotAvoided)
 {
   RawEngine first(ServesOne);
   RawEngine second(ServesOne);
@@ -127,12 +129,13 @@
   for (int i = 0; i < 4; ++i) {
     EXPECT_EQ(StatusOf(Ask(Get("/safe/"))), 200);
   }
-  EXPECT_EQ(std::min(first.Requests(), second.Requests()), 0) << "the same one each time";
+  EXPECT_EQ(std::min(first.Requests(), second.Requests()), 0)
+    << "all requests go to the same engine";
 }
 
-/// The same of a route on which a request may be sent to one engine only: the second connection
-/// goes to the same one.
-TEST_F(RelayKept, OneAttemptIsEnoughForASecondConnection)
+/// Guards against counting a new connection to the same engine as a second engine: on this route a
+/// request may be sent to one engine only.
+TEST_F(RelayPooledConnections, OneAttemptIsEnoughForASecondConnection)
 {
   RawEngine engine(ServesOne);
   mPublishAtOnce = false;
@@ -150,8 +153,9 @@
   EXPECT_EQ(StatusOf(Ask(Get("/safe/"))), 200);
 }
 
-/// The same of requests without a body in the answer, and with one of their own.
-TEST_F(RelayKept, HeadsAndBodiesAreServedAsWell)
+/// As `RequestsAreServedThoughAllPooledConnectionsCloseAtOnce`, for HEAD requests and for requests
+/// with a body.
+TEST_F(RelayPooledConnections, HeadsAndBodiesAreServedAsWell)
 {
   RawEngine engine([](RawConnection& aConnection) {
     const std::string request = aConnection.ReadRequest();
@@ -168,8 +172,8 @@
   }
 }
 
-/// An engine that fails on the second connection too has failed: another one is asked.
-TEST_F(RelayKept, AnEngineThatBreaksOffAgainIsLeft)
+/// An engine that also fails on a new connection counts as failed, and another engine is tried.
+TEST_F(RelayPooledConnections, AnEngineThatClosesAgainCountsAsFailed)
 {
   std::atomic<int> connections{ 0 };
   RawEngine first([&](RawConnection& aConnection) {
@@ -192,9 +196,9 @@
   EXPECT_EQ(second.Requests(), 1);
 }
 
-/// Guards against an engine that is slow on the second connection being asked a third time, where
-/// another one is free.
-TEST_F(RelayKept, AnEngineThatIsSlowOnTheSecondConnectionIsNotAskedAgain)
+/// Guards against a third attempt at an engine that is slow on the second connection, while another
+/// engine is free.
+TEST_F(RelayPooledConnections, AnEngineThatIsSlowOnTheSecondConnectionIsNotAskedAgain)
 {
   std::atomic<int> connections{ 0 };
   RawEngine first([&](RawConnection& aConnection) {
@@ -218,9 +222,9 @@
   EXPECT_EQ(second.Requests(), 1);
 }
 
-/// Guards against a stream whose last attempt is lost in a kept connection, when a path that is
-/// reset has just shown that such connections die.
-TEST_F(RelayKept, AStreamThatIsBrokenOffGoesOnOverANewConnection)
+/// Guards against spending a stream's last attempt on a pooled connection right after a reset of
+/// its path: pooled connections are then likely to be dead as well.
+TEST_F(RelayPooledConnections, AnInterruptedStreamGoesOnOverANewConnection)
 {
   const std::string head = std::string(kHead) + "Transfer-Encoding: chunked\r\n\r\n";
   const std::string first = "f\r\nid: 1\ndata: a\n\n\r\n";
@@ -233,10 +237,10 @@
   });
   std::atomic<int> connections{ 0 };
   RawEngine other([&](RawConnection& aConnection) {
-    const bool kept = connections++ == 0;
+    const bool pooled = connections++ == 0;
     aConnection.ReadRequest();
-    aConnection.Write(head + (kept ? first : "f\r\nid: 2\ndata: b\n\n\r\n") + "0\r\n\r\n");
-    aConnection.ReadRequest(); // and closes the kept one under it
+    aConnection.Write(head + (pooled ? first : "f\r\nid: 2\ndata: b\n\n\r\n") + "0\r\n\r\n");
+    aConnection.ReadRequest(); // a second request on the pooled connection: the engine closes it
   });
   mPublishAtOnce = false;
   Serve({ &broken, &other });
@@ -249,7 +253,7 @@
   ASSERT_TRUE(caller.ReadUntil("data: a\n\n"));
   mPlan.mReplicas["pool"] = { both[1] };
   Publish();
-  ASSERT_EQ(StatusOf(Ask(Get("/stream/", "Model: m\r\n"))), 200); // its connection is kept
+  ASSERT_EQ(StatusOf(Ask(Get("/stream/", "Model: m\r\n"))), 200); // its connection is pooled
   mPlan.mReplicas["pool"] = both;
   Publish();
   breaks.set_value();
@@ -257,14 +261,15 @@
   ::close(socket);
 }
 
-/// Guards against an engine that ends under a request going unnoticed, as the connection was kept.
-TEST_F(RelayKept, ARequestIsSuspectedWhenItsEngineHasEnded)
+/// Guards against missing an engine's exit during a request because the connection was a pooled
+/// one.
+TEST_F(RelayPooledConnections, ARequestIsSuspectedWhenItsEngineHasExited)
 {
   auto engine = std::make_unique<RawEngine>([](RawConnection& aConnection) {
     aConnection.ReadRequest();
     aConnection.Write(std::string(kHead) + "Content-Length: 2\r\n\r\nok");
     aConnection.ReadRequest();
-    aConnection.ReadRequest(); // until the engine ends
+    aConnection.ReadRequest(); // blocks until the engine exits
   });
   Serve({ engine.get() });
   EXPECT_EQ(StatusOf(Ask(Get("/safe/"))), 200);
@@ -274,9 +279,9 @@
   }
   engine.reset();
   EXPECT_GE(StatusOf(answer.get()), 500);
-  std::unique_lock<std::mutex> lock(mEndsMutex);
-  mEndsChanged.wait(lock, [this] { return !mEnds.empty(); });
-  EXPECT_EQ(mEnds.size(), 1U);
+  std::unique_lock<std::mutex> lock(mRecordsMutex);
+  mRecordsChanged.wait(lock, [this] { return !mExits.empty(); });
+  EXPECT_EQ(mExits.size(), 1U);
 }
 
 } // namespace
--- a/src/pepperbay/relay/relay_reach_test.cpp
+++ b/src/pepperbay/relay/relay_reach_test.cpp
@@ -1,4 +1,4 @@
-/// A node that reaches no engine by itself, beside one that does.
+/// A node whose direct path to engines is down, next to a peer that reaches them.
 #include "relay_reach_fixture.hpp"
 
 #include <pepperbay.pb.h>
@@ -6,8 +6,8 @@
 namespace pepperbay {
 namespace {
 
-/// Guards against callers of a node that reaches no engine, all of whom are refused though other
-/// nodes reach them all.
+/// Guards against refusing all callers of a node that reaches no engine, although other nodes reach
+/// all engines.
 TEST_F(RelayReach, ANodeThatReachesNoEngineServesAsOthersDo)
 {
   ServeBehindPaths();
@@ -19,24 +19,24 @@
   }
 }
 
-/// Guards against a node that has never heard an engine, as it started in the cut, and takes none
-/// of it for a cut.
-TEST_F(RelayReach, ANodeThatStartsWhileItIsCutServesAsOthersDo)
+/// Guards against a node that starts without a direct path and does not detect this, because it has
+/// never received anything from an engine.
+TEST_F(RelayReach, ANodeThatStartsWithoutADirectPathServesAsOthersDo)
 {
   ServeBehindPaths();
   Cut(PathState::kSilent);
   EXPECT_EQ(Served(4), 12);
-  EXPECT_FALSE(mReaches);
+  EXPECT_FALSE(mDirectPathUp);
   Cut(PathState::kOpen);
-  while (!mReaches) {
+  while (!mDirectPathUp) {
     std::this_thread::yield();
   }
   EXPECT_EQ(Served(2), 6);
 }
 
-/// Guards against an engine's end that is found by two places and passes for a cut of the node, so
-/// that everything goes through peers.
-TEST_F(RelayReach, AnEngineThatHasEndedIsNoCut)
+/// Guards against taking an engine's exit, which the request and the probe both find, for a direct
+/// path that is down: all requests would then go through peers.
+TEST_F(RelayReach, AnEngineExitIsNoPathFailure)
 {
   std::promise<void> begun;
   std::promise<void> ends;
@@ -49,7 +49,8 @@
   mPaths.push_back(std::make_unique<CutProxy>(ended.Address()));
   mPlan.mEngines["plain"] = { { "ended", mPaths.back()->Address(), "" } };
   auto addresses = std::make_shared<EngineAddresses>(*mPlan.mAddresses);
-  (*addresses)["ended"] = FreeAddress(); // where the peer finds nobody
+  (*addresses)["ended"] =
+    FreeAddress(); // no process listens there: the peer's connection is refused
   mPlan.mAddresses = addresses;
   Peer second("second");
   second.Serve(mPlan);
@@ -57,18 +58,18 @@
   Publish();
   auto answer = std::async(std::launch::async, [this] { return AskOnce(); });
   begun.get_future().wait();
-  mPaths.back()->Set(PathState::kReset); // as its process ends
+  mPaths.back()->Set(PathState::kReset); // as when its process exits
   ends.set_value();
   EXPECT_EQ(answer.get(), 502);
-  std::unique_lock<std::mutex> lock(mEndsMutex);
-  mEndsChanged.wait(lock, [this] { return !mEnds.empty(); });
+  std::unique_lock<std::mutex> lock(mRecordsMutex);
+  mRecordsChanged.wait(lock, [this] { return !mExits.empty(); });
   lock.unlock();
   EXPECT_EQ(Counters().mTunnelledByPeers, 0U);
 }
 
-/// Guards against engines that are well and are taken for ended by the resets and refusals of a
-/// cut: requests would be held back at all nodes, and heads said to be gone.
-TEST_F(RelayReach, EnginesThatOnlyThisNodeDoesNotReachAreNotSaidToHaveEnded)
+/// Guards against taking resets and refusals of a path that is down for exits of healthy engines:
+/// requests would be quarantined at all nodes, and heads reported as lost.
+TEST_F(RelayReach, EnginesThatOnlyThisNodeDoesNotReachAreNotReportedAsExited)
 {
   std::atomic<int> begun{ 0 };
   std::promise<void> ends;
@@ -85,13 +86,13 @@
   EXPECT_EQ(Served(3), 9);
   ends.set_value();
   EXPECT_EQ(Counters().mEnginesExited, 0U);
-  EXPECT_EQ(mRefusals, 0);
-  EXPECT_TRUE(mEnds.empty());
+  EXPECT_EQ(mRefusalReports, 0);
+  EXPECT_TRUE(mExits.empty());
 }
 
-/// Guards against engines of plain services that get no more alerts from anybody since several
-/// nodes of a data centre were cut off from them.
-TEST_F(RelayReach, WhatACutBreaksOffIsNotSaidToBeTheEnginesFailure)
+/// Guards against plain services' engines that receive no requests from any node because several
+/// nodes of one data centre were cut off from them and reported failures.
+TEST_F(RelayReach, RequestsBrokenByAPathFailureAreNotReportedAsEngineFailures)
 {
   std::atomic<int> begun{ 0 };
   std::promise<void> ends;
@@ -99,7 +100,7 @@
   std::atomic<bool> resets{ false };
   ServeBehindPaths([&](RawConnection& aConnection) {
     std::string request = aConnection.ReadRequest();
-    // Connections stay: one that closes unannounced would use up second attempts.
+    // Keeps the connection open: an unannounced close would use up second attempts.
     while (Has(request, " /stream/")) {
       AnswerOne(aConnection, request);
       request = aConnection.ReadRequest();
@@ -117,13 +118,13 @@
   mPlan.mIsAllocator = false;
   mPlan.mAllocators = { { "desk", "127.0.0.1:9" } };
   Publish();
-  /// @return engines that the next question for a place names as failing; a desk that has not
-  /// answered is passed over for a while.
-  const auto told = [this] {
+  /// @return the number of failing engines listed in the next slot request. It may take several
+  /// requests, since an allocator that has not answered is skipped for a while.
+  const auto reportedFailing = [this] {
     for (;;) {
       EXPECT_EQ(StatusOf(Ask(Get("/stream/x", "Model: m\r\n"))), 200);
-      const std::lock_guard<std::mutex> lock(mEndsMutex);
-      for (const auto& it : std::exchange(mSentToDesks, {})) {
+      const std::lock_guard<std::mutex> lock(mRecordsMutex);
+      for (const auto& it : std::exchange(mSentToAllocators, {})) {
         proto::PlaceMessage message;
         EXPECT_TRUE(message.ParseFromString(it));
         if (message.has_ask()) {
@@ -133,21 +134,20 @@
     }
   };
   CutWhileThreeRun(begun);
-  told(); // the engines have been probed by the time of the next one
-  EXPECT_EQ(told(), 0);
+  reportedFailing(); // the engines have been probed by the time of the next slot request
+  EXPECT_EQ(reportedFailing(), 0);
   ends.set_value();
   Cut(PathState::kOpen);
-  while (!mReaches) {
+  while (!mDirectPathUp) {
     std::this_thread::yield();
   }
   resets = true;
   EXPECT_EQ(AskOnce(), 502);
-  while (told() == 0) {
+  while (reportedFailing() == 0) {
   }
 }
 
-/// Guards against a stream that waits for an engine which will never be heard again over its
-/// connection.
+/// Guards against a stream that waits for data on a connection whose path is down.
 TEST_F(RelayReach, AStreamInProgressGoesOnElsewhereThroughAPeer)
 {
   std::atomic<int> streams{ 0 };
@@ -176,11 +176,11 @@
   EXPECT_TRUE(caller.ReadUntil("0\r\n\r\n"));
   ::close(socket);
   ends.set_value();
-  EXPECT_GE(mPeer.Carried().mAnswers["open"], 1U);
+  EXPECT_GE(mPeer.TunnelStats().mAnswers["open"], 1U);
 }
 
-/// Guards against streams that are moved though their connection lives on while new ones are
-/// refused.
+/// Guards against moving a stream whose established connection still works while new connections
+/// are refused.
 TEST_F(RelayReach, AConnectionThatLivesOnKeepsItsStream)
 {
   std::promise<void> rest;
@@ -214,8 +214,8 @@
   EXPECT_EQ(streams, 1);
 }
 
-/// Guards against engines that go on working for callers who have left, since a peer holds their
-/// connections.
+/// Guards against engines that go on working for callers who have disconnected because a peer keeps
+/// the tunnelled connection open.
 TEST_F(RelayReach, ACallersLeavingReachesTheEngineThroughAPeer)
 {
   std::promise<void> begun;
@@ -236,8 +236,9 @@
   closed.get_future().wait();
 }
 
-/// Guards against an alert that runs twice since the peer that carried it has ended.
-TEST_F(RelayReach, WhatMayRunOnceIsNotSentAgainWhenThePeerEnds)
+/// Guards against running a request that must not be repeated twice after the peer that tunnelled
+/// it exits.
+TEST_F(RelayReach, AnUnrepeatableRequestIsNotSentAgainWhenThePeerExits)
 {
   std::promise<void> begun;
   std::promise<void> ends;
@@ -261,12 +262,12 @@
   EXPECT_EQ(Requests(), 1);
 }
 
-/// Guards against nodes that reach no engine and pass connections on to each other.
-TEST_F(RelayReach, WherePeersAreCutAsWellRequestsAreRefusedAsNotRun)
+/// Guards against nodes without a direct path that forward connections to each other.
+TEST_F(RelayReach, WherePeersHaveNoPathEitherRequestsAreRefusedAsNotRun)
 {
   ServeBehindPaths();
   Cut(PathState::kReset);
-  // The peer's own paths are the same ones: it finds the engines refusing it.
+  // The peer uses the same paths, so engines refuse its connections as well.
   Peer cut("cut");
   auto addresses = std::make_shared<EngineAddresses>();
   for (const auto& it : mPlan.mEngines["plain"]) {
@@ -283,20 +284,20 @@
   EXPECT_TRUE(Has(answer, "\"ran\":\"no\""));
   EXPECT_TRUE(Has(answer, "Retry-After: "));
   EXPECT_EQ(Requests(), 0);
-  EXPECT_EQ(mPeer.Carried().mAnswers["open"], 0U) << "no second hop";
+  EXPECT_EQ(mPeer.TunnelStats().mAnswers["open"], 0U) << "no second hop";
   EXPECT_EQ(Counters().mEnginesExited, 0U);
 }
 
-/// Guards against a node that goes on through peers once its own connections stand again.
-TEST_F(RelayReach, TheWayBackIsFoundAndOwnConnectionsAreUsedAgain)
+/// Guards against a node that goes on using peers after its direct path has recovered.
+TEST_F(RelayReach, ARecoveredDirectPathIsDetectedAndUsedAgain)
 {
   ServeBehindPaths();
   Cut(PathState::kReset);
   EXPECT_EQ(Served(4), 12);
   EXPECT_GT(Counters().mTunnelledByPeers, 0U);
-  EXPECT_FALSE(mReaches);
+  EXPECT_FALSE(mDirectPathUp);
   Cut(PathState::kOpen);
-  while (!mReaches) {
+  while (!mDirectPathUp) {
     std::this_thread::yield();
   }
   const std::uint64_t carried = Counters().mTunnelledByPeers;
@@ -304,8 +305,8 @@
   EXPECT_EQ(Counters().mTunnelledByPeers, carried);
 }
 
-/// Guards against answers that are cut off when the node that carries them is stopped in order.
-TEST_F(RelayReach, APeerThatStopsEndsWhatItCarriesFirst)
+/// Guards against truncated answers when the node that tunnels them is stopped gracefully.
+TEST_F(RelayReach, AStoppingPeerCompletesItsTunnelsFirst)
 {
   mPeer.mOptions.mStopGrace = milliseconds(1);
   std::promise<void> begun;
@@ -321,15 +322,15 @@
   Cut(PathState::kReset);
   auto answer = std::async(std::launch::async, [this] { return AskOnce(); });
   begun.get_future().wait();
-  auto stopped = std::async(std::launch::async, [this] { mPeer.StopInOrder(); });
-  while (mPeer.TakesCallers()) {
+  auto stopped = std::async(std::launch::async, [this] { mPeer.StopGracefully(); });
+  while (mPeer.AcceptsCallers()) {
     std::this_thread::yield();
   }
-  // At that moment it would have stopped, but for what it carries.
+  // Only the tunnelled connection still keeps it from stopping.
   EXPECT_EQ(stopped.wait_for(seconds(0)), std::future_status::timeout);
   answers.set_value();
   EXPECT_EQ(answer.get(), 200);
-  SetPeers({}); // this node has heard that the peer stops, and keeps nothing open through it
+  SetPeers({}); // this node learns that the peer stops, and closes its connections through it
   Publish();
   stopped.wait();
 }
--- a/src/pepperbay/relay/relay_retries_test.cpp
+++ b/src/pepperbay/relay/relay_retries_test.cpp
@@ -1,4 +1,4 @@
-/// Second attempts of plain services' requests, out of the budget of all nodes.
+/// Second attempts of plain services' requests, which are limited by a budget shared by all nodes.
 #include "relay_fixture.hpp"
 
 namespace pepperbay {
@@ -7,7 +7,7 @@
 class RelayRetries : public RelayTest
 {
 protected:
-  void BreaksOff(RawConnection& aConnection)
+  void ClosesUnanswered(RawConnection& aConnection)
   {
     ++mRead;
     aConnection.ReadRequest();
@@ -19,13 +19,13 @@
     aConnection.Write(std::string(kHead) + "Content-Length: 2\r\n\r\nok");
   }
 
-  /// Wait for the question to the keeper. @return it
-  proto::PlaceMessage Question()
+  /// Waits for the request to the retry budget owner and returns it.
+  proto::PlaceMessage AwaitRetryRequest()
   {
     for (;;) {
       {
-        const std::lock_guard<std::mutex> lock(mEndsMutex);
-        for (const auto& it : mSentToDesks) {
+        const std::lock_guard<std::mutex> lock(mRecordsMutex);
+        for (const auto& it : mSentToAllocators) {
           proto::PlaceMessage message;
           if (message.ParseFromString(it) && message.has_retry_ask()) {
             return message;
@@ -36,12 +36,12 @@
     }
   }
 
-  void Answer(const proto::PlaceMessage& aQuestion, bool aGranted)
+  void Answer(const proto::PlaceMessage& aRequest, bool aGranted)
   {
     proto::PlaceMessage message;
     auto* answer = message.mutable_retry_answer();
-    answer->set_id(aQuestion.retry_ask().id());
-    answer->set_incarnation(aQuestion.incarnation());
+    answer->set_id(aRequest.retry_ask().id());
+    answer->set_incarnation(aRequest.incarnation());
     answer->set_granted(aGranted);
     asio::post(mContext,
                [this, bytes = message.SerializeAsString()] { mRelay->OnAllocatorMessage(bytes); });
@@ -50,11 +50,11 @@
   std::atomic<int> mRead{ 0 };
 };
 
-/// Guards against a fleet of more nodes than the budget has second attempts, in which a request
-/// never has one.
+/// Guards against a fleet with more nodes than second attempts in the budget, where the local share
+/// of a node would never allow one.
 TEST_F(RelayRetries, ARequestHasASecondAttemptHoweverManyNodesThereAre)
 {
-  RawEngine first([this](RawConnection& aConnection) { BreaksOff(aConnection); });
+  RawEngine first([this](RawConnection& aConnection) { ClosesUnanswered(aConnection); });
   RawEngine second(Serves);
   mPlan.mNodes = 295;
   mPlan.mListedNodes = 295;
@@ -63,18 +63,18 @@
   EXPECT_EQ(StatusOf(Ask(Get("/safe/"))), 200);
 }
 
-/// Whoever does not keep the budget asks the keeper.
-TEST_F(RelayRetries, TheKeeperIsAskedAndItsWordCounts)
+/// A node that does not own the retry budget asks the owner and follows its answer.
+TEST_F(RelayRetries, TheBudgetOwnerIsAskedAndItsAnswerFollowed)
 {
   for (const bool granted : { true, false }) {
-    mSentToDesks.clear();
-    RawEngine first([this](RawConnection& aConnection) { BreaksOff(aConnection); });
+    mSentToAllocators.clear();
+    RawEngine first([this](RawConnection& aConnection) { ClosesUnanswered(aConnection); });
     RawEngine second([this](RawConnection& aConnection) {
       aConnection.ReadRequest();
       if (mRead > 0) {
         aConnection.Write(std::string(kHead) + "Content-Length: 2\r\n\r\nok");
       } else {
-        ++mRead; // it was asked first
+        ++mRead; // the request came here first
       }
     });
     mPlan = TrafficPlan();
@@ -83,7 +83,7 @@
     mRead = 0;
     Serve({ &first, &second });
     auto answer = std::async(std::launch::async, [this] { return Ask(Get("/safe/")); });
-    Answer(Question(), granted);
+    Answer(AwaitRetryRequest(), granted);
     const std::string text = answer.get();
     EXPECT_EQ(StatusOf(text), granted ? 200 : 502) << text;
     EXPECT_EQ(first.Requests() + second.Requests(), granted ? 2 : 1);
@@ -92,11 +92,11 @@
   }
 }
 
-/// A stream that its engine breaks off after the first event, beside an engine that could go on.
+/// A stream whose engine fails after the first event, while another engine could resume it.
 class RelayAwaited : public RelayRetries
 {
 protected:
-  void BreakOff()
+  void InterruptStream()
   {
     RelayOptions options;
     options.mNow = mClock.Hook();
@@ -143,11 +143,11 @@
   std::unique_ptr<RawConnection> mCaller;
 };
 
-/// Guards against streams that are cut since second attempts are used up for a moment, though their
+/// Guards against cutting streams because second attempts are used up for a moment, although their
 /// callers would wait.
 TEST_F(RelayAwaited, AStreamGoesOnOnceThereIsASecondAttempt)
 {
-  BreakOff();
+  InterruptStream();
   RelayTuning tuning;
   asio::post(mContext, [this, tuning] { mRelay->Tune(tuning); });
   mClock.Advance(std::chrono::milliseconds(200));
@@ -155,10 +155,11 @@
   EXPECT_EQ(Counters().mCut, 0U);
 }
 
-/// Guards against callers who are held without hope until they leave.
+/// Guards against callers that wait until they give up although no second attempt becomes
+/// available.
 TEST_F(RelayAwaited, AStreamThatFindsNoSecondAttemptIsCutInTimeToComeBack)
 {
-  BreakOff();
+  InterruptStream();
   EXPECT_EQ(Counters().mCut, 0U);
   mClock.Advance(seconds(1));
   EXPECT_FALSE(mCaller->ReadUntil("data: b\n\n"));
--- a/src/pepperbay/relay/relay_stop_test.cpp
+++ b/src/pepperbay/relay/relay_stop_test.cpp
@@ -3,8 +3,8 @@
 namespace pepperbay {
 namespace {
 
-/// A relay that is asked to stop while one request is in progress, with a paused clock.
-class StopTest : public RelayTest
+/// A relay with a manual clock that is asked to stop while one request is in progress.
+class RelayStop : public RelayTest
 {
 protected:
   void ServeAndBegin()
@@ -33,7 +33,7 @@
     asked.get_future().wait();
   }
 
-  static std::string KeptGet(const std::string& aPath)
+  static std::string KeepAliveGet(const std::string& aPath)
   {
     return "GET " + aPath + " HTTP/1.1\r\nHost: h\r\nReq: q1\r\n\r\n";
   }
@@ -46,24 +46,23 @@
   std::future<std::string> mInProgress;
 };
 
-/// Symptom: callers lose answers when a node is stopped.
-/// Sequence: one request is in progress, one connection idle, and on one half a request has come.
-/// Cause: the process ended before its balancer had stopped sending, or took on what it could not
-/// finish.
-TEST_F(StopTest, AnswersWhatIsInProgressAndRefusesWhatComesLate)
+/// Guards against lost answers when a node is stopped: one request is in progress, one connection
+/// is idle, and on a third half a request has arrived. Answers are lost if the process exits before
+/// the load balancer stops sending, or accepts requests that it cannot finish.
+TEST_F(RelayStop, AnswersWhatIsInProgressAndRefusesWhatComesLate)
 {
   ServeAndBegin();
   const int idle = Connect();
   RawConnection idleSide(idle);
-  idleSide.Write(KeptGet("/nowhere/"));
+  idleSide.Write(KeepAliveGet("/nowhere/"));
   EXPECT_TRUE(Has(idleSide.ReadAnswer(), " 404 "));
   const int half = Connect();
   RawConnection halfSide(half);
-  const std::string next = KeptGet("/safe/");
-  halfSide.Write(KeptGet("/nowhere/") + next.substr(0, next.size() - 2));
+  const std::string next = KeepAliveGet("/safe/");
+  halfSide.Write(KeepAliveGet("/nowhere/") + next.substr(0, next.size() - 2));
   EXPECT_TRUE(Has(halfSide.ReadAnswer(), " 404 "));
   BeginStop();
-  EXPECT_EQ(StatusOf(Ask(Get("/nowhere/"))), 404); // the balancer may still send
+  EXPECT_EQ(StatusOf(Ask(Get("/nowhere/"))), 404); // the load balancer may still send requests
   mClock.Advance(RelayOptions().mStopGrace);
   EXPECT_EQ(idleSide.ReadToEnd(), ""); // closed
   halfSide.Write(next.substr(next.size() - 2));
@@ -79,10 +78,10 @@
   mStopped.get_future().wait();
 }
 
-/// Symptom: the body of an answer at the deadline said that the request had not run, and it had.
-/// Sequence: the engine has read the request and is silent until the deadline.
-/// Cause: that it may have run was found out for the status only, and the body told the old state.
-TEST_F(StopTest, ARequestWithoutAnAnswerInTimeIsSaidToBeUnknown)
+/// Guards against an error body that denies a request has run when an engine has read it and then
+/// stayed silent until the deadline. It happens if the outcome is updated after the body is built,
+/// so that only the status reflects it.
+TEST_F(RelayStop, ARequestWithoutAnAnswerInTimeIsReportedAsUnknown)
 {
   ServeAndBegin();
   mClock.Advance(seconds(20)); // the route's timeout
@@ -92,9 +91,9 @@
   mAnswer.set_value();
 }
 
-/// A process that is about to be killed tells its last callers what it knows. Before, the body said
-/// "not run" of requests that engines had read.
-TEST_F(StopTest, WhatDoesNotEndInTimeIsAnsweredBeforeTheProcessEnds)
+/// A process that reaches its stop time-out answers its remaining callers before it exits. Guards
+/// against a body that says "not run" for requests that engines have read.
+TEST_F(RelayStop, RequestsUnfinishedAtTheStopTimeoutAreAnsweredBeforeExit)
 {
   ServeAndBegin();
   BeginStop();
@@ -106,14 +105,14 @@
   mAnswer.set_value();
 }
 
-/// Guards against a caller's connection that ends under a half-read request without a line.
-TEST_F(RelayTest, AConnectionThatEndsUnderAHalfReadRequestHasALine)
+/// Guards against a missing log line when a caller's connection closes during a half-read request.
+TEST_F(RelayTest, AConnectionThatClosesDuringAHalfReadRequestIsLogged)
 {
   Serve({});
   const int socket = Connect();
   RawConnection(socket).Write("GET /safe/ HTTP/1.1\r\nHost");
   ::close(socket);
-  const auto fields = AwaitLine("connection_closed");
+  const auto fields = AwaitLogLine("connection_closed");
   EXPECT_EQ(fields.at("phase"), "reading");
   EXPECT_FALSE(fields.at("reason").empty());
 }
