--- a/src/pepperbay/placement/group_planner_incarnations.cpp
+++ b/src/pepperbay/placement/group_planner_incarnations.cpp
@@ -90,7 +90,7 @@
     replica.mRestarted.insert(aEngine);
     replica.mReady.erase(aEngine);
     if (replica.mPhase != ReplicaPhase::kBroken) {
-      Break(replica, "member " + aEngine + " restarted", aNow);
+      Break(replica, "member " + aEngine + " started again", aNow);
     }
   }
   mReplicasOf.erase(names);
