--- a/include/pepperbay/admission/admission.hpp
+++ b/include/pepperbay/admission/admission.hpp
@@ -22,10 +22,10 @@
   /// longer than a burst only adds its length to every answer. The first request in the queue is
   /// exempt; otherwise a pool with few slots would have no queue at all.
   Duration mLongestWait = std::chrono::milliseconds(500);
-  Duration mAgeOneLevel =
-    std::chrono::seconds(5); ///< waiting this long raises the priority by one level
-  Duration mFirstServiceGuess =
-    std::chrono::seconds(5);   ///< service time assumed before any is measured
+  /// Waiting this long raises the priority by one level.
+  Duration mAgeOneLevel = std::chrono::seconds(5);
+  /// Service time assumed before any is measured.
+  Duration mFirstServiceGuess = std::chrono::seconds(5);
   double mDefaultShare = 0.05; ///< for customers without a configured share
 };
 
@@ -43,8 +43,8 @@
   std::size_t mNodes = 1;       ///< nodes that serve this pool, this one included
   std::size_t mSilentNodes = 0; ///< of these, nodes without recent reports that may still serve
   std::map<std::string, double> mShares; ///< customer to share of the pool, 0 to 1
-  std::map<std::string, CustomerUsage>
-    mOthers;            ///< customer to its usage at nodes with recent reports
+  /// Customer to its usage at nodes with recent reports.
+  std::map<std::string, CustomerUsage> mOthers;
   TimePoint mUsageAt{}; ///< when `mOthers` was last updated
 };
 
--- a/include/pepperbay/places/slot_agent.hpp
+++ b/include/pepperbay/places/slot_agent.hpp
@@ -62,11 +62,11 @@
   Duration mObjective{ 0 };
   std::set<std::string> mTried; ///< heads that the request has been sent to already
   bool mSecondAttempt = false;  ///< this is a second attempt, at another engine
-  bool mBudgetDrawn =
-    false; ///< its second attempt is already paid from the retry budget, so it is not counted here
+  /// Its second attempt is already paid from the retry budget, so it is not counted here.
+  bool mBudgetDrawn = false;
   bool mOnce = false; ///< request of a plain service that may run only once
-  Claimant
-    mClaimant{}; ///< urgency and customer, which decide the order at engines with a low rate limit
+  /// Urgency and customer, which decide the order at engines with a low rate limit.
+  Claimant mClaimant{};
 };
 
 enum class SlotOutcome
@@ -133,12 +133,12 @@
   std::uint64_t mAsked = 0;    ///< questions to allocators on other nodes
   std::uint64_t mResent = 0;   ///< of these, sent again
   std::uint64_t mTimedOut = 0; ///< questions that were not answered in time
-  std::uint64_t mWithoutAllocator =
-    0;                          ///< choices made without an allocator though the plan names one
+  /// Choices made without an allocator though the plan names one.
+  std::uint64_t mWithoutAllocator = 0;
   std::uint64_t mGranted = 0;   ///< slots granted to other nodes
   std::uint64_t mForwarded = 0; ///< questions forwarded to the allocator of another data centre
-  std::uint64_t mLimited =
-    0; ///< requests refused since all replicas with free slots have reached their rate limits
+  /// Requests refused since all replicas with free slots have reached their rate limits.
+  std::uint64_t mLimited = 0;
   std::uint64_t mLocalShare = 0; ///< requests sent from the local share of a limit
   std::uint64_t mCounted = 0;    ///< requests of all nodes that were counted against limits here
   std::uint64_t mBadMessages = 0;
--- a/include/pepperbay/routing/balancer.hpp
+++ b/include/pepperbay/routing/balancer.hpp
@@ -198,8 +198,8 @@
   BalancerOptions mOptions;
   std::unordered_map<std::string, int> mOwn;
   std::unordered_map<std::string, TimePoint> mFaultAt;
-  std::unordered_map<std::string, TimePoint>
-    mReadsUntil; ///< by head: when the prompts sent to it will have been read
+  /// By head: when the prompts sent to it will have been read.
+  std::unordered_map<std::string, TimePoint> mReadsUntil;
   std::unordered_map<std::string, Pace> mPaces;
   RefusalTracker mRefusals;
   FailureTracker mFailures;
--- a/include/pepperbay/routing/route_table.hpp
+++ b/include/pepperbay/routing/route_table.hpp
@@ -35,9 +35,9 @@
   std::string mHost;
   std::string mPathPrefix; ///< begins and ends with a slash
   RequestKind mKind = RequestKind::kUnrepeatable;
-  bool mResumable =
-    false;              ///< streams only: another engine may resume after the last event passed on
-  bool mPublic = false; ///< needs no key
+  /// Streams only: another engine may resume after the last event passed on.
+  bool mResumable = false;
+  bool mPublic = false;                          ///< needs no key
   Duration mTimeout = std::chrono::seconds(30);  ///< maximum time to the answer
   Duration mObjective = std::chrono::seconds(1); ///< to the answer, or to a stream's first event
   Duration mLongestPause{ 0 };                   ///< between events that are on time; 0: not set
--- a/include/pepperbay/routing/router.hpp
+++ b/include/pepperbay/routing/router.hpp
@@ -105,8 +105,8 @@
 
 struct RouteOptions
 {
-  Duration mSlowStart =
-    std::chrono::seconds(10);    ///< warm-up time of a replica that is complete again
+  /// Warm-up time of a replica that is complete again.
+  Duration mSlowStart = std::chrono::seconds(10);
   double mSlowStartFactor = 4.0; ///< load factor at the start of the warm-up
   double mOthersWeight = 0.1;    ///< weight of others' mean load against this node's own
   double mNodes = 1;             ///< nodes that share the pool, assumed to carry equal load
--- a/include/pepperbay/routing/traffic_plan.hpp
+++ b/include/pepperbay/routing/traffic_plan.hpp
@@ -94,8 +94,8 @@
   std::unordered_map<std::string, int> mOthersInFlight;
   bool mIsAllocator = true;                  ///< this node is a slot allocator itself
   std::vector<AllocatorAddress> mAllocators; ///< slot allocators for this node, best first
-  std::map<std::string, AllocatorAddress>
-    mAllocatorsOf;                  ///< of other data centres, used by a slot allocator
+  /// Of other data centres, used by a slot allocator.
+  std::map<std::string, AllocatorAddress> mAllocatorsOf;
   EngineIncarnations mIncarnations; ///< of the listed engines
   /// Of the listed engines; null until they are known.
   std::shared_ptr<const EngineAddresses> mAddresses;
--- a/src/pepperbay/places/limited_engines.hpp
+++ b/src/pepperbay/places/limited_engines.hpp
@@ -31,8 +31,8 @@
   struct Arrival
   {
     TimePoint mAt{};
-    bool mInformed =
-      false; ///< the node received an answer with a limit at least half a second before
+    /// The node received an answer with a limit at least half a second before.
+    bool mInformed = false;
     bool mLocalShare = false; ///< sent from the local share of the limit, counted by no allocator
   };
 
@@ -244,8 +244,8 @@
   std::map<std::string, std::vector<Arrival>> mArrivals;
   /// When nodes first received an answer with a limit, by engine and node.
   std::map<std::string, std::map<std::size_t, TimePoint>> mInformedAt;
-  std::map<std::size_t, std::uint64_t>
-    mByLocalShares; ///< requests from the local share so far, by node
+  /// Requests from the local share so far, by node.
+  std::map<std::size_t, std::uint64_t> mByLocalShares;
   std::vector<Running> mRunning;
   int mRefused = 0;
   int mRefusedWithoutTime = 0;
--- a/src/pepperbay/relay/exchange.hpp
+++ b/src/pepperbay/relay/exchange.hpp
@@ -48,8 +48,8 @@
   std::optional<TimePoint> mHeadAt; ///< when the answer began: the engine runs the request
   TimePoint mLastEventAt{};
   TimePoint mHeardAt{}; ///< when bytes last arrived; the zero time for never
-  std::optional<TimePoint>
-    mLostSince;          ///< since when the plan reports the replica lost or re-formed
+  /// Since when the plan reports the replica lost or re-formed.
+  std::optional<TimePoint> mLostSince;
   bool mWriting = false; ///< the engine has sent an event
   bool mWatched = false; ///< the engine's silence is measured: the relay is ready to read
   bool mRepeats = false; ///< repeats a dispatch to this engine that failed on a stale connection
--- a/src/pepperbay/relay/relay_core.hpp
+++ b/src/pepperbay/relay/relay_core.hpp
@@ -81,8 +81,8 @@
   EngineConnector mConnector;
   ExitProbe mExitProbe;
   RecentCompletions mRuns;
-  RecentCompletions
-    mPartRuns; ///< prompt parts; in mRuns the more numerous requests would evict them
+  /// Prompt parts; in mRuns the more numerous requests would evict them.
+  RecentCompletions mPartRuns;
   RelayCounters mCounters;
   std::set<std::shared_ptr<Session>> mSessions;
   std::set<std::shared_ptr<Exchange>> mExchanges;
