--- a/scripts/test.sh
+++ b/scripts/test.sh
@@ -11,11 +11,10 @@
 fi
 # Suite.Test/parameter passes over one case of a test with parameters.
 for it in "${red[@]}"; do
-  test=${it%%/*} parameter=
-  [ "$test" = "$it" ] || parameter=${it#*/}
-  if ! grep -rqE "(TEST|TEST_F|TEST_P|RC_GTEST_PROP|RC_GTEST_FIXTURE_PROP)\(${test%%.*}, *${test#*.}\b" \
-    --include='*_test.cpp' src platform tests ||
-    { [ -n "$parameter" ] && ! grep -rqF "\"$parameter\"" --include='*_test.cpp' src platform tests; }; then
+  test=${it%%/*} parameter=${it#"${it%%/*}"}
+  mapfile -t files < <(grep -rlE "(TEST|TEST_F|TEST_P|RC_GTEST_PROP|RC_GTEST_FIXTURE_PROP)\(${test%%.*}, *${test#*.}\b" \
+    --include='*_test.cpp' src platform tests)
+  if [ "${#files[@]}" -eq 0 ] || { [ -n "$parameter" ] && ! grep -qF "\"${parameter#/}\"" "${files[@]}"; }; then
     echo "$known names a test that does not exist: '$it'; allowed: Suite.Test[/parameter] | command and seed | seen | issue"
     exit 1
   fi
